--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -1,16 +1,18 @@
-// Package direct runs an instance that sends each request straight to an upstream.
+// Package direct implements a router instance that forwards each request directly to an
+// upstream.
 //
-// Every instance reads the operators' configuration and the list of upstreams from
-// the platform's store, and decides on requests with what it knows: routes,
-// balance, quota. One instance leads: it holds a lease in the store, and it alone
-// decides who holds the keys of sharded services (package keyspace). The others
-// report to it what they see, and its answers tell them the holders, the upstreams,
-// the configuration and the total demand of each account. The requests of an account
-// with a small limit are counted by one instance, its home. Nothing is lost with an
-// instance, the leader included: what must last is in the store.
+// Each instance takes the operators' configuration and the list of upstreams from the
+// platform's store, and makes its routing, load-balancing and quota decisions locally.
+// One instance is the leader: it holds a lease in the store, and it alone assigns the
+// keys of sharded services to upstreams (package keyspace). The other instances report
+// their observations to the leader. Its replies carry the holders of keys, the
+// upstreams, the configuration and the total demand of each account. The requests of an
+// account with a small limit are counted by a single instance, the account's home.
+// Losing an instance, including the leader, loses no durable state: that is kept in the
+// store.
 //
-// The store and the protocols of callers and upstreams are met through the
-// interfaces below.
+// The store and the protocols of callers and upstreams are accessed through the
+// interfaces in this file.
 package direct
 
 import (
@@ -31,50 +33,53 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Settings are what an instance is told at its start.
+// Settings are the start-up settings of an instance.
 type Settings struct {
 	Instance      fleet.InstanceID
 	Zone          fleet.ZoneID
-	FirstStart    bool   // the whole fleet starts for the first time
-	CallerListen  string // addresses, IP:port
+	FirstStart    bool   // the whole fleet starts for the first time; nothing is stored yet
+	CallerListen  string // listen addresses, as IP:port
 	HealthListen  string
 	PeerListen    string
-	MetricsListen string // empty: no metrics
-	Store         string
-	Grace         time.Duration // from SIGTERM to SIGKILL
-	MaxMemory     int64         // bytes; 0 is unknown
-	Processor     float64       // cores that the instance may use
+	MetricsListen string        // empty: metrics are not served
+	Store         string        // address of the store
+	Grace         time.Duration // time from SIGTERM to SIGKILL
+	MaxMemory     int64         // memory limit in bytes; 0: unknown
+	Processor     float64       // CPU cores that the instance may use
 
 	Retry    RetryLimit
 	Quota    QuotaTolerance
-	MaxHold  time.Duration // of a grant
-	MinLease time.Duration // of the store
+	MaxHold  time.Duration // longest allowed duration of a grant
+	MinLease time.Duration // shortest lease that the store accepts
 }
 
-// RetryLimit bounds what an upstream gets beyond the first arrival of each request.
+// RetryLimit bounds the repeated requests that the upstreams of a service receive from
+// all instances together within Window: Ratio repeats for each request of a caller, plus
+// Extra.
 type RetryLimit struct {
 	Ratio  float64
 	Extra  int
 	Window time.Duration
 }
 
-// QuotaTolerance is what may be admitted beyond an account's limit.
+// QuotaTolerance bounds the requests that may be admitted beyond an account's limit
+// within Window: Overage is a share of the limit, Slack a number of requests.
 type QuotaTolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
-// Operator is what operators want: the configuration and the zones that are to get
-// nothing.
+// Operator is the state that operators set: the configuration and the zones whose
+// upstreams are to receive no requests.
 type Operator struct {
 	Table     *routes.Table // nil before the first configuration
-	Source    []byte        // the configuration as it is stored
+	Source    []byte        // the configuration as encoded in the store
 	Evacuated map[fleet.ZoneID]bool
-	Revision  fleet.Revision // of the store; it also grows with changes of other keys
+	Revision  fleet.Revision // revision of the whole store; changes of other keys increase it too
 }
 
-// Tag names what operators want. Instances compare tags.
+// Tag identifies the operator state. Instances compare tags to detect a difference.
 func (o *Operator) Tag() string {
 	if o == nil || o.Table == nil {
 		return ""
@@ -83,114 +88,123 @@
 	return fmt.Sprintf("%d %s", o.Table.Version, zones)
 }
 
-// sameConfiguration reports whether two tags name the same configuration.
+// sameConfiguration reports whether two tags name the same configuration version.
 func sameConfiguration(a, b string) bool {
 	versionA, _, _ := strings.Cut(a, " ")
 	versionB, _, _ := strings.Cut(b, " ")
 	return versionA == versionB
 }
 
-// Item is a stored value.
+// Item is a value in the store and the revision of its last change.
 type Item struct {
 	Value    []byte
 	Revision fleet.Revision
 }
 
-// LeaseID names a lease of the store; keys that are bound to it end with it.
+// LeaseID identifies a lease in the store. Keys bound to a lease are deleted when it
+// ends.
 type LeaseID uint64
 
-// Write is a change of one key under a condition.
+// Write is a conditional write of one key.
 type Write struct {
 	Key    string
 	Value  []byte
-	Expect fleet.Revision // 0: the key does not exist
+	Expect fleet.Revision // required revision of the key; 0: the key must not exist
 	Lease  LeaseID
 }
 
-// Condition is a key and the revision that it must have.
+// Condition requires a key to have a certain revision.
 type Condition struct {
 	Key    string
 	Expect fleet.Revision
 }
 
-// Errors of a store.
+// Errors returned by a Store.
 var (
-	ErrNotFound   = errors.New("not found")
-	ErrConflict   = errors.New("a condition does not hold")
-	ErrLeaseEnded = errors.New("the lease has ended")
-	ErrRefused    = errors.New("the store refused the call and did nothing")
+	ErrNotFound   = errors.New("key not found in the store")
+	ErrConflict   = errors.New("a condition of the write is not met")
+	ErrLeaseEnded = errors.New("the lease has expired or was ended")
+	ErrRefused    = errors.New("the store refused the call without executing it")
 )
 
 // Store is the platform's key-value service.
 type Store interface {
-	// Upstreams lists all upstreams. Entries that cannot be read are left out and
-	// described.
+	// Upstreams lists all registered upstreams. It omits registrations that it cannot
+	// decode and returns an error for each in unreadable.
 	Upstreams(ctx context.Context) (list []balance.Registration, unreadable []error, err error)
-	// Operator reads what operators want.
+	// Operator reads the complete operator state.
 	Operator(ctx context.Context) (Operator, error)
-	// FollowOperator waits for changes after cur, for wait at most.
+	// FollowOperator waits up to wait for changes after cur.Revision and returns cur
+	// with these changes.
 	FollowOperator(ctx context.Context, cur Operator, wait time.Duration) (Operator, error)
+	// Get returns the value of key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Item, error)
+	// Put executes w if its condition and all others are met, else it returns ErrConflict.
 	Put(ctx context.Context, w Write, also ...Condition) (fleet.Revision, error)
 	NewLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
+	// KeepLease renews a lease. It returns ErrLeaseEnded if the lease has ended.
 	KeepLease(ctx context.Context, id LeaseID) error
 	EndLease(ctx context.Context, id LeaseID) error
 }
 
-// KeyHolders carries orders to upstreams that hold keys.
+// KeyHolders sends grants and releases of keys to upstreams.
 type KeyHolders interface {
-	// Order carries out one call. The handover belongs to a release that was done.
+	// Order carries out one call. handover is set only by a release that succeeded.
 	Order(ctx context.Context, addr string, c keyspace.Call) (r keyspace.Result, handover string, err error)
 }
 
-// Asked is what a caller's request says besides its method, path and body.
+// Asked holds the metadata of a caller's request, besides its method, path and body.
 type Asked struct {
 	ID         fleet.RequestID
-	Budget     time.Duration // the time that the caller waits; 0 if it does not tell
+	Budget     time.Duration // time that the caller is willing to wait; 0: not given
 	Key        fleet.CallerKey
 	HasKey     bool
 	RoutingKey keyspace.Key
 	HasRouting bool
 }
 
-// Forwarded is what an instance tells an upstream besides.
+// Forwarded holds the metadata that an instance adds to a request to an upstream.
 type Forwarded struct {
-	Upstream fleet.UpstreamID
-	Left     time.Duration
-	Account  fleet.AccountID // empty: none
+	Upstream fleet.UpstreamID // the addressed upstream
+	Left     time.Duration    // time left until the deadline
+	Account  fleet.AccountID  // empty: none
 }
 
-// Answer is what an upstream's answer says besides its status and body.
+// Answer holds the metadata of an upstream's response, besides its status and body.
 type Answer struct {
 	ID     fleet.RequestID
-	NotRun bool // the upstream says that it did not run the request
-	Moved  bool // the upstream is not the expected one, or does not hold the key
-	Load   *balance.Load
+	NotRun bool          // the upstream states that it did not run the request
+	Moved  bool          // the upstream is not the addressed one, or does not hold the key
+	Load   *balance.Load // nil if the upstream did not report any
 }
 
-// Protocol is how callers and upstreams put these things into headers.
+// Protocol encodes and decodes the metadata of requests and answers in HTTP headers.
 type Protocol interface {
+	// Asked decodes the headers of a caller's request.
 	Asked(h http.Header) (Asked, error)
-	// Forward returns the headers for an upstream: those of the caller without the
-	// ones that concern its connection or carry its key.
+	// Forward returns the headers for an upstream: the caller's headers without the
+	// hop-by-hop ones and the caller key, and with those that encode f.
 	Forward(h http.Header, f Forwarded) http.Header
+	// Answer decodes the status and headers of an upstream's response.
 	Answer(status int, h http.Header) Answer
-	// Return returns the headers for the caller.
+	// Return returns the headers for the caller, given those of the upstream's
+	// response.
 	Return(h http.Header) http.Header
-	// Refusal returns the headers of an answer that this instance makes itself.
+	// Refusal returns the headers of an answer that this instance generates itself.
 	Refusal(id fleet.RequestID, retryAfter time.Duration) http.Header
-	// HealthPath is where the platform asks whether the instance is ready.
+	// HealthPath is the path of the platform's readiness check.
 	HealthPath() string
 }
 
-// Platform is everything outside the fleet.
+// Platform gives access to the services outside the fleet.
 type Platform struct {
 	Store    Store
 	Holders  KeyHolders
 	Protocol Protocol
-	Upstream *http1.Transport
-	// Configuration decodes Operator.Source, which the leader tells the others.
+	Upstream *http1.Transport // connections to upstreams
+	// Configuration decodes Operator.Source, which the leader sends to the other
+	// instances.
 	Configuration func(source []byte) (*routes.Table, error)
-	// Settings reads the settings again.
+	// Settings reads the current settings.
 	Settings func() (Settings, error)
 }
--- a/internal/direct/docs_test.go
+++ b/internal/direct/docs_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// sources returns the code of packages, without tests.
-func sources(t *testing.T, dirs ...string) string {
+// readSources returns the concatenated Go sources of the packages in dirs, without
+// tests.
+func readSources(t *testing.T, dirs ...string) string {
 	t.Helper()
 	var all strings.Builder
 	for _, dir := range dirs {
@@ -31,7 +32,7 @@
 	return all.String()
 }
 
-func page(t *testing.T, name string) string {
+func readPage(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile("../../docs/" + name)
 	if err != nil {
@@ -40,8 +41,9 @@
 	return string(data)
 }
 
-// found returns the first groups of all matches.
-func found(text string, patterns ...string) map[string]bool {
+// firstGroups returns the set of the first submatches of all matches of patterns in
+// text.
+func firstGroups(text string, patterns ...string) map[string]bool {
 	out := make(map[string]bool)
 	for _, p := range patterns {
 		for _, m := range regexp.MustCompile(p).FindAllStringSubmatch(text, -1) {
@@ -51,14 +53,14 @@
 	return out
 }
 
-// Guards against reasons, log messages and metrics that the pages for operators lack,
-// and against ones there that the program does not have.
+// Guards against operator documentation that lacks a reason, log message or metric of
+// the code, or describes one that the code does not have.
 func TestPagesForOperators(t *testing.T) {
-	code := sources(t, ".", "../balance")
-	operations := page(t, "OPERATIONS.md")
+	code := readSources(t, ".", "../balance")
+	operations := readPage(t, "OPERATIONS.md")
 	_, operations, ok := strings.Cut(operations, "## On the users' platform")
 	if !ok {
-		t.Fatal("docs/OPERATIONS.md has no section on the users' platform")
+		t.Fatal("docs/OPERATIONS.md has no section \"On the users' platform\"")
 	}
 	section := func(title string) string {
 		_, rest, ok := strings.Cut(operations, "### "+title)
@@ -71,20 +73,20 @@
 	compare := func(what string, inCode, onPage map[string]bool) {
 		for name := range inCode {
 			if !onPage[name] {
-				t.Errorf("%s %q is not on the page", what, name)
+				t.Errorf("%s %q in the code is missing on the page", what, name)
 			}
 		}
 		for name := range onPage {
 			if !inCode[name] {
-				t.Errorf("%s %q on the page is not in the code", what, name)
+				t.Errorf("%s %q on the page is missing in the code", what, name)
 			}
 		}
 	}
 	compare("reason",
-		found(code, `refuse\([^"\n]*"([a-z-]+)"`, `return nil, "([a-z-]+)"`, `reason = "([a-z-]+)"`, `0\.0, "([a-z-]+)"`, `changed, "([a-z-]+)"`),
-		found(section("Reasons of answers"), "`([a-z-]+)`[^|\n]*\\| [0-9]{3} \\|", "\n\\| `([a-z-]+)`", ", `([a-z-]+)`"))
+		firstGroups(code, `refuse\([^"\n]*"([a-z-]+)"`, `return nil, "([a-z-]+)"`, `reason = "([a-z-]+)"`, `0\.0, "([a-z-]+)"`, `changed, "([a-z-]+)"`),
+		firstGroups(section("Reasons of answers"), "`([a-z-]+)`[^|\n]*\\| [0-9]{3} \\|", "\n\\| `([a-z-]+)`", ", `([a-z-]+)`"))
 	compare("log message",
-		found(code, `log\.(?:Info|Warn|Error)\("([^"]+)"`),
-		found(section("Logs"), "\n\\| `([a-z ]+)`", ", `([a-z ]+)`"))
-	compare("metric", found(code, `Name: "(parsleyproxy_direct_[a-z_]+)"`), found(page(t, "metrics.md"), "`(parsleyproxy_direct_[a-z_]+)`"))
+		firstGroups(code, `log\.(?:Info|Warn|Error)\("([^"]+)"`),
+		firstGroups(section("Logs"), "\n\\| `([a-z ]+)`", ", `([a-z ]+)`"))
+	compare("metric", firstGroups(code, `Name: "(parsleyproxy_direct_[a-z_]+)"`), firstGroups(readPage(t, "metrics.md"), "`(parsleyproxy_direct_[a-z_]+)`"))
 }
--- a/internal/direct/elect.go
+++ b/internal/direct/elect.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// electionSpread spreads the candidates, most of whom find a leader then.
-	electionSpread = 150 * time.Millisecond
-	// leaderCores is the processor time, in cores, with which an instance leads some
-	// 70 others: a report from each every 0.7 s and 300 grants a second.
-	leaderCores = 0.6
-	// weakHandicap is how much later than leaderCores an instance without any processor
-	// time would become a candidate. It exceeds electionSpread and the 300 ms within
-	// which instances start.
-	weakHandicap = 700 * time.Millisecond
-	// vacancyPoll is the time between two looks at the leader key of a leader that is
-	// silent. Its lease ends within leaderLease.
-	vacancyPoll = 300 * time.Millisecond
+	// electionJitter is the range of the random delay before an instance becomes a
+	// candidate, so that most instances find a leader already elected.
+	electionJitter = 150 * time.Millisecond
+	// minLeaderCores is the number of CPU cores with which an instance can lead about
+	// 70 others: a report from each every 0.7 s, and 300 grants per second.
+	minLeaderCores = 0.6
+	// maxCandidacyDelay is the additional delay of an instance without any CPU share.
+	// It exceeds electionJitter plus the 300 ms within which instances start, so that
+	// an instance with minLeaderCores is elected first.
+	maxCandidacyDelay = 700 * time.Millisecond
+	// leaderKeyPoll is the time between two reads of the leader key while the known
+	// leader is silent. Its lease ends within leaderLeaseTTL.
+	leaderKeyPoll = 300 * time.Millisecond
 )
 
-// handicap returns how much later than others an instance with so many cores
-// becomes a candidate among n instances, 0 if their number is not known. Every
-// instance leads few others well enough.
-func handicap(cores float64, n int) time.Duration {
-	if cores >= leaderCores || n > 0 && n <= paceInstances {
+// candidacyDelay returns the additional delay with which an instance with the given
+// number of CPU cores becomes a candidate. n is the number of instances, 0 if unknown.
+// In a small fleet the delay is 0, since any instance can lead it.
+func candidacyDelay(cores float64, n int) time.Duration {
+	if cores >= minLeaderCores || n > 0 && n <= smallFleetSize {
 		return 0
 	}
-	return time.Duration((1 - cores/leaderCores) * float64(weakHandicap))
+	return time.Duration((1 - cores/minLeaderCores) * float64(maxCandidacyDelay))
 }
 
-// coordinate follows the leader, or leads.
-func (r *Router) coordinate(ctx context.Context) {
+// leadOrFollow runs elections and leads or follows the elected leader until ctx ends.
+func (r *Router) leadOrFollow(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l := r.findLeader(ctx); l != nil {
 			r.lead(ctx, l)
@@ -48,31 +49,31 @@
 	}
 }
 
-// findLeader looks the leader up. It returns a leadership if this instance has
-// become the leader.
+// findLeader waits until a leader is known, campaigning if there is none. It returns a
+// leadership if this instance was elected, and nil if another one leads.
 func (r *Router) findLeader(ctx context.Context) *leadership {
 	for ctx.Err() == nil {
 		info, err := r.readLeader(ctx)
 		switch {
-		case err == nil && r.silentStill(info):
-			sleep(ctx, vacancyPoll)
+		case err == nil && r.isSilentLeader(info):
+			sleep(ctx, leaderKeyPoll)
 			continue
 		case err == nil && info.id != r.cfg.Instance:
 			r.setLeader(info)
 			return nil
-		case err == nil: // a former run of this instance; its lease will end
-			sleep(ctx, storePause)
+		case err == nil: // written by this instance before its restart; that lease will expire
+			sleep(ctx, storeRetryDelay)
 			continue
 		case !errors.Is(err, ErrNotFound):
-			r.log.Warn("leader not read", "error", err)
-			if r.askPeers(ctx) {
+			r.log.Warn("reading the leader key failed", "error", err)
+			if r.findLeaderThroughPeers(ctx) {
 				return nil
 			}
-			sleep(ctx, 2*storePause)
+			sleep(ctx, 2*storeRetryDelay)
 			continue
 		}
-		if r.leaving.Load() {
-			sleep(ctx, electionSpread)
+		if r.shuttingDown.Load() {
+			sleep(ctx, electionJitter)
 			continue
 		}
 		l, err := r.campaign(ctx)
@@ -80,36 +81,37 @@
 			return l
 		}
 		if !errors.Is(err, ErrConflict) {
-			r.log.Warn("not elected", "error", err)
-			sleep(ctx, storePause)
+			r.log.Warn("election attempt failed", "error", err)
+			sleep(ctx, storeRetryDelay)
 		}
 	}
 	return nil
 }
 
-// silentStill reports whether info is the leader whose silence this instance has
-// noticed, and whose lease has not had the time to end.
-func (r *Router) silentStill(info leaderInfo) bool {
+// isSilentLeader reports whether info is the leader that stopped answering this
+// instance and whose lease may not have expired yet.
+func (r *Router) isSilentLeader(info leaderInfo) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return info.term == r.leader.term && time.Since(r.leader.heard) < pace(len(r.instances))+silenceMargin+leaderLease
+	return info.term == r.leader.term && time.Since(r.leader.heardAt) < longPollWait(len(r.instances))+leaderSilenceMargin+leaderLeaseTTL
 }
 
+// readLeader reads the leader key.
 func (r *Router) readLeader(ctx context.Context) (leaderInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	it, err := r.out.Store.Get(ctx, leaderKey)
+	it, err := r.platform.Store.Get(ctx, leaderKey)
 	if !errors.Is(err, ErrNotFound) {
-		r.storeAnswered(time.Now(), err)
+		r.noteStoreResult(time.Now(), err)
 	}
 	if err != nil {
 		return leaderInfo{}, err
 	}
-	words := strings.Fields(string(it.Value))
-	if len(words) != 3 {
-		return leaderInfo{}, errors.Errorf("%s: want an id, an address and a lease, not %q", leaderKey, it.Value)
+	fields := strings.Fields(string(it.Value))
+	if len(fields) != 3 {
+		return leaderInfo{}, errors.Errorf("%s: want an instance ID, an address and a lease ID, not %q", leaderKey, it.Value)
 	}
-	return leaderInfo{id: fleet.InstanceID(words[0]), addr: words[1], term: uint64(it.Revision), heard: time.Now()}, nil
+	return leaderInfo{id: fleet.InstanceID(fields[0]), addr: fields[1], term: uint64(it.Revision), heardAt: time.Now()}, nil
 }
 
 func (r *Router) setLeader(info leaderInfo) {
@@ -117,7 +119,7 @@
 	changed := r.leader.term != info.term
 	r.leader = info
 	if changed {
-		r.demandReported = time.Time{} // this leader has been told none
+		r.demandReportedAt = time.Time{} // no demand has been reported to this leader
 	}
 	r.mu.Unlock()
 	if changed {
@@ -125,10 +127,12 @@
 	}
 }
 
-// campaign tries to become the leader.
+// campaign tries to become the leader: it waits for its candidacy delay, acquires a
+// lease, writes the leader key and loads the ownership record. It returns ErrConflict if
+// there is another leader.
 func (r *Router) campaign(ctx context.Context) (*leadership, error) {
 	r.mu.Lock()
-	delay := handicap(r.cfg.Processor, len(r.instances)) + time.Duration(r.rng.Int64N(int64(electionSpread)))
+	delay := candidacyDelay(r.cfg.Processor, len(r.instances)) + time.Duration(r.rng.Int64N(int64(electionJitter)))
 	r.mu.Unlock()
 	sleep(ctx, delay)
 	if _, err := r.readLeader(ctx); !errors.Is(err, ErrNotFound) {
@@ -139,42 +143,43 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
-	asked := bootClock()
-	lease, err := r.out.Store.NewLease(callCtx, max(leaderLease, r.cfg.MinLease))
+	requestedAt := bootClock()
+	lease, err := r.platform.Store.NewLease(callCtx, max(leaderLeaseTTL, r.cfg.MinLease))
 	if err != nil {
 		return nil, err
 	}
-	validTill := asked + leaderLease - leaseMargin
+	validUntil := requestedAt + leaderLeaseTTL - leaseMargin
 	value := fmt.Sprintf("%s %s %d", r.cfg.Instance, r.cfg.PeerListen, lease)
-	rev, err := r.claim(callCtx, Write{Key: leaderKey, Value: []byte(value), Lease: lease}, validTill)
+	rev, err := r.putLeaderKey(callCtx, Write{Key: leaderKey, Value: []byte(value), Lease: lease}, validUntil)
 	if err != nil {
 		return nil, err
 	}
 	l := &leadership{
-		term: uint64(rev), lease: lease, validTill: validTill,
-		results: make(chan callResult, 64), saved: make(chan saveResult, 1), kept: make(chan keepResult, 1),
-		reports: make(chan report, 64), members: make(map[fleet.InstanceID]member), began: time.Now(), stop: make(chan struct{}),
+		term: uint64(rev), lease: lease, validUntil: validUntil,
+		callResults: make(chan callResult, 64), saveResults: make(chan saveResult, 1), renewResults: make(chan renewResult, 1),
+		reports: make(chan report, 64), members: make(map[fleet.InstanceID]member), startedAt: time.Now(), stop: make(chan struct{}),
 	}
-	rec, recordRev, err := r.readRecord(ctx)
-	for err != nil && bootClock() < validTill && ctx.Err() == nil {
-		r.log.Warn("ownership record not read", "error", err, "term", l.term)
-		sleep(ctx, storePause)
-		rec, recordRev, err = r.readRecord(ctx)
+	record, recordRev, err := r.readOwnership(ctx)
+	for err != nil && bootClock() < validUntil && ctx.Err() == nil {
+		r.log.Warn("reading the ownership record failed", "error", err, "term", l.term)
+		sleep(ctx, storeRetryDelay)
+		record, recordRev, err = r.readOwnership(ctx)
 	}
 	if err != nil {
 		return nil, err
 	}
-	l.recordRev, l.recorded, l.recordedSize = recordRev, rec.Instances, len(rec.Instances)
-	l.owner = keyspace.NewOwner(time.Now(), l.term, keyspace.Timing{Hold: min(hold, r.cfg.MaxHold), Renew: renewGrants, Retry: retryGrants}, rec)
+	l.recordRev, l.recordedInstances, l.recordedCount = recordRev, record.Instances, len(record.Instances)
+	l.owner = keyspace.NewOwner(time.Now(), l.term, keyspace.Timing{Hold: min(grantTTL, r.cfg.MaxHold), Renew: grantRenewInterval, Retry: grantRetryDelay}, record)
 	return l, nil
 }
 
-// claim writes the leader key. If the answer is lost, it reads back whether the
-// write was done; the value names the lease, so it is this write's.
-func (r *Router) claim(ctx context.Context, w Write, validTill time.Duration) (fleet.Revision, error) {
-	rev, err := r.out.Store.Put(ctx, w)
-	for err != nil && !errors.Is(err, ErrConflict) && !errors.Is(err, ErrRefused) && bootClock() < validTill && ctx.Err() == nil {
-		it, readErr := r.out.Store.Get(ctx, w.Key)
+// putLeaderKey writes the leader key. If the answer is lost, it reads the key to find
+// out whether the write was executed: the value contains the lease ID, so no other
+// write has the same one.
+func (r *Router) putLeaderKey(ctx context.Context, w Write, validUntil time.Duration) (fleet.Revision, error) {
+	rev, err := r.platform.Store.Put(ctx, w)
+	for err != nil && !errors.Is(err, ErrConflict) && !errors.Is(err, ErrRefused) && bootClock() < validUntil && ctx.Err() == nil {
+		it, readErr := r.platform.Store.Get(ctx, w.Key)
 		switch {
 		case readErr == nil && string(it.Value) == string(w.Value):
 			return it.Revision, nil
@@ -183,22 +188,23 @@
 		case errors.Is(readErr, ErrNotFound):
 			return 0, err
 		}
-		sleep(ctx, storePause)
+		sleep(ctx, storeRetryDelay)
 	}
 	return rev, err
 }
 
-// readRecord reads what leaders store and its revision, 0 if nothing is stored yet.
-func (r *Router) readRecord(ctx context.Context) (keyspace.Record, fleet.Revision, error) {
+// readOwnership reads the ownership record of the leaders and its revision, 0 if none
+// has been stored.
+func (r *Router) readOwnership(ctx context.Context) (keyspace.Record, fleet.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	it, err := r.out.Store.Get(ctx, ownershipKey)
+	it, err := r.platform.Store.Get(ctx, ownershipKey)
 	if errors.Is(err, ErrNotFound) {
 		return keyspace.Record{}, 0, nil
 	}
 	if err != nil {
 		return keyspace.Record{}, 0, err
 	}
-	rec, err := keyspace.DecodeRecord(it.Value)
-	return rec, it.Revision, err
+	record, err := keyspace.DecodeRecord(it.Value)
+	return record, it.Revision, err
 }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -8,136 +8,141 @@
 )
 
 const (
-	// operatorWait is how long a watch of the operators' wishes waits. A change must
-	// be in force within 2 s, also if the watch's connection has gone silent.
-	operatorWait = 600 * time.Millisecond
-	// storeTimeout is how long an answer of the store may take beyond a wait.
+	// operatorWatchWait is the longest duration of one watch for changes of the
+	// operator state. A change must take effect within 2 s, even if the watch's
+	// connection has silently failed.
+	operatorWatchWait = 600 * time.Millisecond
+	// storeTimeout bounds a store call, not counting the wait of a watch.
 	storeTimeout = 500 * time.Millisecond
-	// storePause is the time between two calls after one that failed; it doubles up to
-	// maxStorePause while calls fail, since calls to a store that is away are priced.
-	storePause    = 150 * time.Millisecond
-	maxStorePause = 600 * time.Millisecond
-	// lapseGrace is the time after an outage of the store in which registrations that
-	// lapsed meanwhile come back. Until then upstreams without one are not gone.
-	lapseGrace = 2200 * time.Millisecond
-	// lapseAfter is the length of an outage from which on registrations may lapse.
-	lapseAfter = time.Second
-	// listEvery is the time between two lists of upstreams by the leader. An upstream
-	// that leaves must get nothing 2 s after the store accepted that it does.
-	listEvery = 500 * time.Millisecond
-	// knowledgeMargin is how much older than a report's wait the list and the operators'
-	// wishes may be before an instance does not rely on the leader, but reads itself.
-	knowledgeMargin = 850 * time.Millisecond
-	// firstWait is how long an instance of a fleet that starts for the first time waits
-	// for a leader; traffic comes some seconds later.
-	firstWait = 3 * time.Second
-	// followPace is how often that age is looked at.
-	followPace = 50 * time.Millisecond
+	// storeRetryDelay is the delay before a failed store call is repeated. It doubles
+	// up to maxStoreRetryDelay while calls fail, since the platform charges for each
+	// call, even while the store is unavailable.
+	storeRetryDelay    = 150 * time.Millisecond
+	maxStoreRetryDelay = 600 * time.Millisecond
+	// reregistrationGrace is the time after a store outage within which upstreams whose
+	// registrations expired meanwhile register again. Until it is over, upstreams
+	// missing from the list are kept.
+	reregistrationGrace = 2200 * time.Millisecond
+	// minLapseOutage is the shortest outage during which registrations may expire.
+	minLapseOutage = time.Second
+	// listInterval is the time between two lists of upstreams by the leader. An
+	// upstream that is leaving must not receive requests later than 2 s after the store
+	// accepted this state.
+	listInterval = 500 * time.Millisecond
+	// stalenessMargin is added to the duration of a long poll: if the list of upstreams
+	// or the operator state is older than both together, the instance reads it from the
+	// store instead of relying on the leader.
+	stalenessMargin = 850 * time.Millisecond
+	// firstLeaderWait is how long an instance waits for a leader when the fleet starts
+	// for the first time. Requests arrive only some seconds later.
+	firstLeaderWait = 3 * time.Second
+	// stalenessPoll is the interval at which these ages are checked.
+	stalenessPoll = 50 * time.Millisecond
 )
 
-// leads reports whether this instance leads.
-func (r *Router) leads() bool {
+// isLeader reports whether this instance is the leader.
+func (r *Router) isLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leadership != nil
 }
 
-// awaitOperatorTurn waits until this instance has to ask the store for the
-// operators' wishes: always if it leads, else if the leader's knowledge is too old
-// or says that there is something new. It reports whether they are to be read
-// whole.
-func (r *Router) awaitOperatorTurn(ctx context.Context) bool {
-	for ctx.Err() == nil && !r.leads() {
+// awaitOperatorReadDue waits until this instance has to read the operator state from
+// the store: immediately if it leads, else once the state received from the leader is
+// stale or a read was requested. It reports whether the complete state has to be read.
+func (r *Router) awaitOperatorReadDue(ctx context.Context) bool {
+	for ctx.Err() == nil && !r.isLeader() {
 		r.mu.Lock()
-		age := time.Since(r.operatorChecked)
+		age := time.Since(r.operatorConfirmedAt)
 		r.mu.Unlock()
-		if age > r.currentPace()+knowledgeMargin {
+		if age > r.currentLongPollWait()+stalenessMargin {
 			return false
 		}
 		select {
 		case <-ctx.Done():
-		case <-r.operatorNow:
+		case <-r.operatorReadRequests:
 			return true
-		case <-time.After(followPace):
+		case <-time.After(stalenessPoll):
 		}
 	}
 	return false
 }
 
-// recall reads which instances there were, before any request can be
-// admitted. An instance that took the fleet for smaller than it is would admit more
-// than its part of each limit until the leader tells, and one that knows no homes of
-// accounts would refuse nearly all of their requests. The recorded holders of keys
-// serve until the leader's map is there, since grants outlast an election.
-func (r *Router) recall(ctx context.Context) {
-	pause := storePause
+// loadOwnership loads the instances and key holders of the stored ownership record
+// before any request can be admitted. Without the instances, this one would assume a
+// smaller fleet and admit more than its share of each limit until the leader replies;
+// and without the homes of accounts, it would refuse nearly all of their requests. The
+// recorded holders are used until the leader's map arrives, since grants outlast an
+// election.
+func (r *Router) loadOwnership(ctx context.Context) {
+	delay := storeRetryDelay
 	for ctx.Err() == nil {
-		rec, _, err := r.readRecord(ctx)
-		r.storeAnswered(time.Now(), err)
+		record, _, err := r.readOwnership(ctx)
+		r.noteStoreResult(time.Now(), err)
 		if err == nil {
 			r.mu.Lock()
-			told := len(r.instances) > 0 // the leader knows better
+			received := len(r.instances) > 0 // the leader's list is newer
 			r.mu.Unlock()
-			if !told {
-				r.setInstances(rec.Instances)
+			if !received {
+				r.setInstances(record.Instances)
 			}
-			if len(rec.Services) > 0 {
-				r.setKeys(rec.Map())
+			if len(record.Services) > 0 {
+				r.setHolderMap(record.Map())
 			}
 			return
 		}
-		r.log.Debug("ownership record not read", "error", err)
-		sleep(ctx, pause)
-		pause = min(2*pause, maxStorePause)
+		r.log.Debug("reading the ownership record failed", "error", err)
+		sleep(ctx, delay)
+		delay = min(2*delay, maxStoreRetryDelay)
 	}
 }
 
-// followOperator keeps the operators' wishes up to date.
-func (r *Router) followOperator(ctx context.Context) {
-	if r.cfg.FirstStart { // nothing is recorded, and the leader tells all
+// syncOperator keeps the operator state up to date.
+func (r *Router) syncOperator(ctx context.Context) {
+	if r.cfg.FirstStart { // nothing has been recorded; the leader sends the complete state
 		r.awaitLeader(ctx, func() bool { return r.operator.Load() != nil })
 	} else {
-		r.recall(ctx)
+		r.loadOwnership(ctx)
 	}
 	known := false
-	pause := storePause
+	delay := storeRetryDelay
 	for ctx.Err() == nil {
-		if known && r.awaitOperatorTurn(ctx) {
+		if known && r.awaitOperatorReadDue(ctx) {
 			known = false
 		}
 		cur := r.operator.Load()
-		asked := time.Now()
+		requestedAt := time.Now()
 		var next Operator
 		var err error
 		if !known {
 			callCtx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
-			next, err = r.out.Store.Operator(callCtx)
+			next, err = r.platform.Store.Operator(callCtx)
 			cancel()
 		} else {
-			callCtx, cancel := context.WithTimeout(ctx, operatorWait+storeTimeout)
-			next, err = r.out.Store.FollowOperator(callCtx, *cur, operatorWait)
+			callCtx, cancel := context.WithTimeout(ctx, operatorWatchWait+storeTimeout)
+			next, err = r.platform.Store.FollowOperator(callCtx, *cur, operatorWatchWait)
 			cancel()
 		}
-		r.storeAnswered(time.Now(), err)
+		r.noteStoreResult(time.Now(), err)
 		if err != nil {
-			r.log.Debug("operator configuration not read", "error", err, "whole", !known, "after", time.Since(asked))
+			r.log.Debug("reading the operator state failed", "error", err, "whole", !known, "after", time.Since(requestedAt))
 			known = false
-			sleep(ctx, pause)
-			pause = min(2*pause, maxStorePause)
-			r.awaitOperatorTurn(ctx) // the leader may tell them meanwhile
+			sleep(ctx, delay)
+			delay = min(2*delay, maxStoreRetryDelay)
+			r.awaitOperatorReadDue(ctx) // the leader may send the state meanwhile
 			continue
 		}
-		pause = storePause
+		delay = storeRetryDelay
 		known = true
 		r.setOperator(time.Now(), next)
-		if !r.leads() {
-			sleep(ctx, storePause) // bounds the calls of a storm of changes
+		if !r.isLeader() {
+			sleep(ctx, storeRetryDelay) // bounds the rate of store calls under frequent changes
 		}
 	}
 }
 
-// setOperator takes over what the operators want as of now, unless something newer is
-// known.
+// setOperator applies the operator state, known to be current as of now, unless a newer
+// one has been applied.
 func (r *Router) setOperator(now time.Time, next Operator) {
 	r.mu.Lock()
 	cur := r.operator.Load()
@@ -146,138 +151,142 @@
 		return
 	}
 	if cur != nil && cur.Table != nil && (next.Table == nil || next.Table.Version < cur.Table.Version) {
-		next.Table, next.Source = cur.Table, cur.Source // a configuration is never reverted
+		next.Table, next.Source = cur.Table, cur.Source // a configuration is never replaced by an older one
 	}
 	r.operator.Store(&next)
 	if next.Table != nil && (cur == nil || cur.Table == nil) {
 		close(r.configured)
 	}
-	r.operatorChecked = later(r.operatorChecked, now)
+	r.operatorConfirmedAt = latest(r.operatorConfirmedAt, now)
 	if cur.Tag() != next.Tag() {
 		r.operatorSeq++
-		r.announce()
+		r.wakeReports()
 	}
 	for zone := range next.Evacuated {
-		if _, seen := r.evacuates[zone]; !seen {
-			r.evacuates[zone] = now
+		if _, seen := r.evacuatedSince[zone]; !seen {
+			r.evacuatedSince[zone] = now
 			r.log.Info("zone evacuated", "zone", zone, "revision", next.Revision)
 		}
 	}
-	for zone := range r.evacuates {
+	for zone := range r.evacuatedSince {
 		if !next.Evacuated[zone] {
-			delete(r.evacuates, zone)
-			r.log.Info("zone taken back", "zone", zone, "revision", next.Revision)
+			delete(r.evacuatedSince, zone)
+			r.log.Info("zone evacuation ended", "zone", zone, "revision", next.Revision)
 		}
 	}
 	r.upstreams.Evacuate(now, next.Evacuated)
 	r.mu.Unlock()
 	if next.Table != nil && (cur == nil || cur.Table == nil || cur.Table.Version != next.Table.Version) {
 		r.log.Info("configuration in force", "version", uint64(next.Table.Version), "revision", next.Revision)
-		r.becomeReady()
+		r.updateReadiness()
 	}
 }
 
-// becomeReady lets the balancer send connections once both the configuration and
-// the upstreams are known.
-func (r *Router) becomeReady() {
+// updateReadiness marks the instance as ready for the platform's balancer once both the
+// configuration and the upstreams are known.
+func (r *Router) updateReadiness() {
 	op := r.operator.Load()
 	r.mu.Lock()
-	listed := !r.listed.IsZero()
+	listed := !r.listedAt.IsZero()
 	r.mu.Unlock()
-	if op != nil && op.Table != nil && listed && !r.leaving.Load() && !r.ready.Swap(true) {
+	if op != nil && op.Table != nil && listed && !r.shuttingDown.Load() && !r.ready.Swap(true) {
 		r.log.Info("instance is ready")
 	}
 }
 
-// followUpstreams keeps the list of upstreams up to date.
-func (r *Router) followUpstreams(ctx context.Context) {
+// syncUpstreams keeps the list of upstreams up to date.
+func (r *Router) syncUpstreams(ctx context.Context) {
 	if r.cfg.FirstStart {
-		r.awaitLeader(ctx, func() bool { return !r.listed.IsZero() })
-		r.awaitListTurn(ctx)
+		r.awaitLeader(ctx, func() bool { return !r.listedAt.IsZero() })
+		r.awaitListReadDue(ctx)
 	}
-	pause := storePause
+	delay := storeRetryDelay
 	for ctx.Err() == nil {
-		asked := time.Now()
+		requestedAt := time.Now()
 		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
-		list, unreadable, err := r.out.Store.Upstreams(callCtx)
+		list, unreadable, err := r.platform.Store.Upstreams(callCtx)
 		cancel()
-		r.storeAnswered(time.Now(), err)
+		r.noteStoreResult(time.Now(), err)
 		if err != nil {
-			r.log.Debug("upstreams not listed", "error", err, "after", time.Since(asked))
-			sleep(ctx, pause)
-			pause = min(2*pause, maxStorePause)
-			r.awaitListTurn(ctx) // the leader may tell it meanwhile
+			r.log.Debug("listing the upstreams failed", "error", err, "after", time.Since(requestedAt))
+			sleep(ctx, delay)
+			delay = min(2*delay, maxStoreRetryDelay)
+			r.awaitListReadDue(ctx) // the leader may send the list meanwhile
 			continue
 		}
-		pause = storePause
+		delay = storeRetryDelay
 		for _, problem := range unreadable {
-			r.log.Debug("entry of an upstream ignored", "error", problem)
+			r.log.Debug("undecodable upstream registration ignored", "error", problem)
 		}
 		r.mu.Lock()
-		r.ownList = true
+		r.listFromStore = true
 		r.mu.Unlock()
-		r.setUpstreams(time.Now(), asked, list)
-		r.awaitListTurn(ctx)
+		r.setUpstreams(time.Now(), requestedAt, list)
+		r.awaitListReadDue(ctx)
 	}
 }
 
-// awaitLeader gives the first leader of a fleet the time to tell what told looks for,
-// so that it alone reads the store. told is called with mu held.
-func (r *Router) awaitLeader(ctx context.Context, told func() bool) {
-	for end := time.Now().Add(firstWait); ctx.Err() == nil; {
+// awaitLeader gives the first leader of a new fleet time to send the state for which
+// received checks, so that only the leader reads the store. received is called with mu
+// held.
+func (r *Router) awaitLeader(ctx context.Context, received func() bool) {
+	for end := time.Now().Add(firstLeaderWait); ctx.Err() == nil; {
 		r.mu.Lock()
-		heard := time.Since(r.leader.heard) < pace(len(r.instances))+silenceMargin
-		done := r.leadership != nil || told() || !heard && time.Now().After(end)
+		leaderAnswers := time.Since(r.leader.heardAt) < longPollWait(len(r.instances))+leaderSilenceMargin
+		done := r.leadership != nil || received() || !leaderAnswers && time.Now().After(end)
 		r.mu.Unlock()
 		if done {
 			return
 		}
-		sleep(ctx, followPace)
+		sleep(ctx, stalenessPoll)
 	}
 }
 
-// awaitListTurn waits until this instance has to read the list.
-func (r *Router) awaitListTurn(ctx context.Context) {
+// awaitListReadDue waits until this instance has to read the list of upstreams from the
+// store.
+func (r *Router) awaitListReadDue(ctx context.Context) {
 	for ctx.Err() == nil {
-		limit := r.currentPace() + knowledgeMargin
-		if r.leads() {
-			limit = listEvery
+		limit := r.currentLongPollWait() + stalenessMargin
+		if r.isLeader() {
+			limit = listInterval
 		}
 		r.mu.Lock()
-		age := time.Since(r.listed)
+		age := time.Since(r.listedAt)
 		r.mu.Unlock()
 		if age >= limit {
 			return
 		}
-		sleep(ctx, min(followPace, limit-age))
+		sleep(ctx, min(stalenessPoll, limit-age))
 	}
 }
 
-func (r *Router) setUpstreams(now, asked time.Time, list []balance.Registration) {
+// setUpstreams applies a list of upstreams, received at now. requestedAt is when the
+// list was requested from the store, by this instance or the leader.
+func (r *Router) setUpstreams(now, requestedAt time.Time, list []balance.Registration) {
 	r.mu.Lock()
-	if now.Sub(r.outageEnded) < lapseGrace {
+	if now.Sub(r.outageEndedAt) < reregistrationGrace {
 		list = r.upstreams.KeepMissing(list)
 	}
 	changes := r.upstreams.Replace(now, list)
-	r.setListed(asked)
-	if r.shared.update(now, list) {
-		r.announce()
+	r.setListedAt(requestedAt)
+	if r.leaderList.update(now, list) {
+		r.wakeReports()
 	}
 	for _, c := range changes {
 		switch c.What {
 		case "draining", "gone":
-			if _, seen := r.leaves[c.ID]; !seen {
-				r.leaves[c.ID] = now
+			if _, seen := r.leavingSince[c.ID]; !seen {
+				r.leavingSince[c.ID] = now
 			}
 		case "new", "restarted":
-			delete(r.leaves, c.ID)
+			delete(r.leavingSince, c.ID)
 		}
 	}
 	r.mu.Unlock()
 	for _, c := range changes {
-		r.log.Info("upstream changed", "upstream", c.ID, "change", c.What)
+		r.log.Info("upstream registration changed", "upstream", c.ID, "change", c.What)
 	}
-	r.becomeReady()
+	r.updateReadiness()
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/direct/follow_test.go
+++ b/internal/direct/follow_test.go
@@ -11,71 +11,72 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/balance"
 )
 
-// refusingStore turns every call away and counts them.
-type refusingStore struct {
+// rejectingStore rejects and counts all calls.
+type rejectingStore struct {
 	Store
 	calls atomic.Int32
 }
 
-func (s *refusingStore) Upstreams(context.Context) ([]balance.Registration, []error, error) {
+func (s *rejectingStore) Upstreams(context.Context) ([]balance.Registration, []error, error) {
 	s.calls.Add(1)
 	return nil, nil, ErrRefused
 }
 
-func (s *refusingStore) Operator(context.Context) (Operator, error) {
+func (s *rejectingStore) Operator(context.Context) (Operator, error) {
 	s.calls.Add(1)
 	return Operator{}, ErrRefused
 }
 
-// Guards against priced calls by an instance that the store turns away, while its
-// leader tells it all.
-func TestTurnedAwayInstanceRestsOnLeader(t *testing.T) {
-	store := &refusingStore{}
+// Guards against an instance whose store calls are rejected repeating them, at a charge
+// for each call, although the leader sends it the complete state.
+func TestInstanceRejectedByStoreReliesOnLeader(t *testing.T) {
+	store := &rejectingStore{}
 	r := New(Settings{Instance: "a", FirstStart: true}, Platform{Store: store}, NewMetrics(), hclog.NewNullLogger())
-	ctx, cancel := context.WithTimeout(t.Context(), maxStorePause*2)
+	ctx, cancel := context.WithTimeout(t.Context(), maxStoreRetryDelay*2)
 	defer cancel()
 	r.operator.Store(&Operator{})
-	told := func() {
+	updateFromLeader := func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.listed, r.operatorChecked, r.leader.heard = time.Now(), time.Now(), time.Now()
+		r.listedAt, r.operatorConfirmedAt, r.leader.heardAt = time.Now(), time.Now(), time.Now()
 	}
-	told()
-	go r.followUpstreams(ctx)
-	go r.followOperator(ctx)
+	updateFromLeader()
+	go r.syncUpstreams(ctx)
+	go r.syncOperator(ctx)
 	for ctx.Err() == nil {
-		told()
-		sleep(ctx, followPace)
+		updateFromLeader()
+		sleep(ctx, stalenessPoll)
 	}
-	// The operators' wishes are read once, before the leader is relied on.
+	// The operator state is read once before the instance relies on the leader.
 	if got := store.calls.Load(); got > 1 {
-		t.Errorf("%d calls of the store, want 1 at most", got)
+		t.Errorf("%d store calls, want at most 1", got)
 	}
 }
 
-// Guards against an upstream that is kept after it has left, because an instance that
-// rested on its leader takes its first call in a long time for the end of an outage.
+// Guards against keeping an upstream that has left: an instance that relied on the
+// leader for a long time must not take its next successful store call for the end of an
+// outage.
 func TestOutageEndsWithLeadersList(t *testing.T) {
-	began := time.Now()
+	start := time.Now()
 	for name, c := range map[string]struct {
-		toldAfter time.Duration // the failure; 0: never
+		listAfter time.Duration // time of the leader's list after the failed call; 0: no list
 		want      bool
 	}{
-		"the leader went on telling": {toldAfter: time.Second, want: false},
-		"nobody reached the store":   {want: true},
+		"the leader continued to send lists": {listAfter: time.Second, want: false},
+		"no instance reached the store":      {want: true},
 	} {
 		r, _ := newRouter(t, "a")
-		r.setUpstreams(began, began, []balance.Registration{{ID: "u", Service: "s", Slots: 1}})
-		r.storeAnswered(began, ErrRefused)
-		if c.toldAfter > 0 {
-			at := began.Add(c.toldAfter)
-			r.setUpstreams(at, at, []balance.Registration{{ID: "u", Service: "s", Slots: 1}})
+		r.setUpstreams(start, start, []balance.Registration{{ID: "u", Service: "s", Slots: 1}})
+		r.noteStoreResult(start, ErrRefused)
+		if c.listAfter > 0 {
+			listedAt := start.Add(c.listAfter)
+			r.setUpstreams(listedAt, listedAt, []balance.Registration{{ID: "u", Service: "s", Slots: 1}})
 		}
-		back := began.Add(20 * time.Second)
-		r.storeAnswered(back, nil)
-		r.setUpstreams(back, back, nil)
+		storeBackAt := start.Add(20 * time.Second)
+		r.noteStoreResult(storeBackAt, nil)
+		r.setUpstreams(storeBackAt, storeBackAt, nil)
 		if got := r.upstreams.Get("u") != nil; got != c.want {
-			t.Errorf("%s: the upstream is kept %t, want %t", name, got, c.want)
+			t.Errorf("%s: upstream kept: %t, want %t", name, got, c.want)
 		}
 	}
 }
--- a/internal/direct/forward.go
+++ b/internal/direct/forward.go
@@ -14,71 +14,74 @@
 )
 
 const (
-	// hedgeFactor times the typical service time without an answer, an idempotent
-	// request is sent to a second upstream.
+	// hedgeFactor is the multiple of the typical service time after which an unanswered
+	// idempotent request is also sent to a second upstream.
 	hedgeFactor = 1.5
-	// minHedge is the part of the target before which no second upstream is tried.
-	minHedge = 0.3
-	// drainUse is how long the holder of a key still gets requests after it was seen
-	// to leave. It must get nothing 2 s after it said so, of which a list takes up to
-	// listEvery.
-	drainUse = 900 * time.Millisecond
-	// evacuateUse is the same for a zone that is evacuated, which may take 5 s.
-	evacuateUse = 2500 * time.Millisecond
-	// unreachablePause is the time between two tries of an upstream that holds a key
-	// and cannot be reached.
-	unreachablePause = 100 * time.Millisecond
-	// lostPause is the time before the second arrival at a holder that lost the first,
-	// twice that before the third. A holder with a long queue resets connections, and a
-	// slot is free some 100 ms later.
-	lostPause = 150 * time.Millisecond
+	// minHedgeShare is the share of the route's target latency before which a request
+	// is not hedged.
+	minHedgeShare = 0.3
+	// drainingHolderUse is how long the holder of a key still receives requests after
+	// this instance saw it draining. Requests must stop within 2 s of its announcement,
+	// of which the list of upstreams takes up to listInterval.
+	drainingHolderUse = 900 * time.Millisecond
+	// evacuatedHolderUse is the same for a holder in an evacuated zone, where requests
+	// may continue for 5 s.
+	evacuatedHolderUse = 2500 * time.Millisecond
+	// unreachableRetryDelay is the delay before a key's holder that could not be
+	// reached is tried again.
+	unreachableRetryDelay = 100 * time.Millisecond
+	// lostRetryDelay is the delay before a request is sent a second time to a holder
+	// that lost it; the delay before the third time is twice as long. A holder with a
+	// long queue resets connections, and frees a slot about 100 ms later.
+	lostRetryDelay = 150 * time.Millisecond
 )
 
-// attempt is a request at one upstream.
+// attempt is one try of a request at one upstream, with its result.
 type attempt struct {
 	upstream *balance.Entry
 	id       fleet.UpstreamID
-	res      *http1.Response
-	answer   Answer
+	response *http1.Response
+	metadata Answer
 	err      error
 	verdict  balance.Verdict
 }
 
-// ran reports whether the upstream may have run the request.
-func (a attempt) ran() bool {
+// mayHaveRun reports whether the upstream may have run the request.
+func (a attempt) mayHaveRun() bool {
 	var notSent *http1.NotSentError
-	return !errors.As(a.err, &notSent) && (a.err != nil || !a.answer.NotRun)
+	return !errors.As(a.err, &notSent) && (a.err != nil || !a.metadata.NotRun)
 }
 
-// send sends x to an upstream and notes how it ended.
-func (r *Router) send(ctx context.Context, x *exchange, e *balance.Entry) attempt {
-	began := time.Now()
-	a := attempt{upstream: e, id: e.ID}
+// send sends x to an upstream and records the result.
+func (r *Router) send(ctx context.Context, x *exchange, upstream *balance.Entry) attempt {
+	sentAt := time.Now()
+	a := attempt{upstream: upstream, id: upstream.ID}
 	req := &http1.Request{
 		Method: x.method, Target: x.target, Host: x.host, Body: x.body,
-		Header: r.out.Protocol.Forward(x.header, Forwarded{Upstream: e.ID, Left: x.deadline.Sub(began), Account: x.account.ID}),
+		Header: r.platform.Protocol.Forward(x.header, Forwarded{Upstream: upstream.ID, Left: x.deadline.Sub(sentAt), Account: x.account.ID}),
 	}
-	a.res, a.err = r.out.Upstream.Do(ctx, e.Addr, req, func(res *http1.Response) bool {
-		id := r.out.Protocol.Answer(res.Status, res.Header).ID
-		return id == "" || id == x.asked.ID
+	a.response, a.err = r.platform.Upstream.Do(ctx, upstream.Addr, req, func(res *http1.Response) bool {
+		id := r.platform.Protocol.Answer(res.Status, res.Header).ID
+		return id == "" || id == x.info.ID
 	})
 	now := time.Now()
 	if a.err == nil {
-		a.answer = r.out.Protocol.Answer(a.res.Status, a.res.Header)
+		a.metadata = r.platform.Protocol.Answer(a.response.Status, a.response.Header)
 	}
-	a.verdict = judge(ctx, a)
+	a.verdict = classify(ctx, a)
 	r.mu.Lock()
-	silent := a.verdict == balance.Silent && !e.AnsweredSince(began)
-	r.upstreams.Ended(now, e, a.verdict, now.Sub(began), a.answer.Load)
-	x.attempts = append(x.attempts, describe(a, now.Sub(began)))
+	noAnswer := a.verdict == balance.Silent && !upstream.AnsweredSince(sentAt)
+	r.upstreams.Ended(now, upstream, a.verdict, now.Sub(sentAt), a.metadata.Load)
+	x.attempts = append(x.attempts, formatAttempt(a, now.Sub(sentAt)))
 	r.mu.Unlock()
-	if silent {
-		r.out.Upstream.Forget(e.Addr) // its other connections may be silent too
+	if noAnswer {
+		r.platform.Upstream.Forget(upstream.Addr) // its other connections may have failed silently too
 	}
 	return a
 }
 
-func judge(ctx context.Context, a attempt) balance.Verdict {
+// classify returns the verdict on an attempt for load balancing.
+func classify(ctx context.Context, a attempt) balance.Verdict {
 	var notSent *http1.NotSentError
 	switch {
 	case a.err != nil && errors.Is(ctx.Err(), context.Canceled):
@@ -89,52 +92,54 @@
 		return balance.Unreachable
 	case a.err != nil:
 		return balance.Silent
-	case a.answer.Moved:
+	case a.metadata.Moved:
 		return balance.Declined
-	case a.answer.NotRun:
+	case a.metadata.NotRun:
 		return balance.Full
-	case a.res.Status >= http.StatusInternalServerError:
+	case a.response.Status >= http.StatusInternalServerError:
 		return balance.Failed
-	case a.res.Status >= http.StatusMultipleChoices:
-		return balance.Declined // says nothing of the time that work takes
+	case a.response.Status >= http.StatusMultipleChoices:
+		return balance.Declined // such an answer says nothing about the service time
 	}
 	return balance.Answered
 }
 
-func describe(a attempt, took time.Duration) string {
+func formatAttempt(a attempt, took time.Duration) string {
 	if a.err != nil {
 		return fmt.Sprintf("%s:%v:%dms", a.id, a.err, took.Milliseconds())
 	}
-	return fmt.Sprintf("%s:%d:%dms", a.id, a.res.Status, took.Milliseconds())
+	return fmt.Sprintf("%s:%d:%dms", a.id, a.response.Status, took.Milliseconds())
 }
 
-func fromUpstream(p Protocol, a attempt) outcome {
-	return outcome{status: a.res.Status, header: p.Return(a.res.Header), body: a.res.Body}
+func upstreamOutcome(p Protocol, a attempt) outcome {
+	return outcome{status: a.response.Status, header: p.Return(a.response.Header), body: a.response.Body}
 }
 
-// choose picks an upstream and counts the request there.
-func (r *Router) choose(now time.Time, x *exchange, tried map[fleet.UpstreamID]bool) (*balance.Entry, string) {
+// chooseUpstream selects an upstream by load balancing and counts the request as in
+// flight there. If there is none, it returns the reason.
+func (r *Router) chooseUpstream(now time.Time, x *exchange, tried map[fleet.UpstreamID]bool) (*balance.Entry, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e, reason := r.upstreams.Choose(now, balance.Query{Service: x.service.ID, Zone: r.cfg.Zone, Target: x.route.Target, Exclude: tried})
-	if e != nil {
-		r.upstreams.Started(now, e)
+	upstream, reason := r.upstreams.Choose(now, balance.Query{Service: x.service.ID, Zone: r.cfg.Zone, Target: x.route.Target, Exclude: tried})
+	if upstream != nil {
+		r.upstreams.Started(now, upstream)
 	}
-	return e, reason
+	return upstream, reason
 }
 
-// mayRepeat reports whether x may be sent to one more upstream.
-func (r *Router) mayRepeat(now time.Time, x *exchange) bool {
-	if x.sends > x.route.MaxAttempts {
+// takeRetry reports whether x may be sent once more, and takes the repetition from the
+// service's retry budget if so.
+func (r *Router) takeRetry(now time.Time, x *exchange) bool {
+	if x.arrivals > x.route.MaxAttempts {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(x.service.ID).Take(now, r.instanceCount())
+	return r.retryBudget(x.service.ID).Take(now, r.instanceCount())
 }
 
-// hedgeDelay returns the time after which an idempotent request is also sent to
-// another upstream.
+// hedgeDelay returns the time after which an idempotent request without an answer is
+// also sent to a second upstream.
 func (r *Router) hedgeDelay(x *exchange) time.Duration {
 	if !x.route.Idempotent || x.route.MaxAttempts < 2 {
 		return time.Hour
@@ -142,17 +147,17 @@
 	r.mu.Lock()
 	typical := r.upstreams.Typical(x.service.ID)
 	r.mu.Unlock()
-	return max(time.Duration(hedgeFactor*typical*float64(time.Second)), time.Duration(minHedge*float64(x.route.Target)))
+	return max(time.Duration(hedgeFactor*typical*float64(time.Second)), time.Duration(minHedgeShare*float64(x.route.Target)))
 }
 
-// forwardToAny sends x to an upstream of a service whose upstreams are all alike,
-// and to another if that fails and x may be repeated.
+// forwardToAny sends x to an upstream of an unsharded service. If an attempt fails and
+// x may be repeated, it tries another upstream.
 func (r *Router) forwardToAny(ctx context.Context, x *exchange) outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f := &fanOut{r: r, x: x, results: make(chan attempt, x.route.MaxAttempts+2), tried: make(map[fleet.UpstreamID]bool)}
 	if reason, ok := f.launch(ctx); !ok {
-		return refuse(http.StatusServiceUnavailable, reason, retryNotReady)
+		return refuse(http.StatusServiceUnavailable, reason, retryAfterNotReady)
 	}
 	hedge := time.NewTimer(r.hedgeDelay(x))
 	defer hedge.Stop()
@@ -160,11 +165,11 @@
 		select {
 		case a := <-f.results:
 			f.running--
-			if out, final := f.take(ctx, a); final {
+			if out, final := f.handleResult(ctx, a); final {
 				return out
 			}
 		case <-hedge.C:
-			if f.running == 1 && f.ran < x.route.MaxAttempts && r.mayRepeat(time.Now(), x) {
+			if f.running == 1 && f.mayHaveRun < x.route.MaxAttempts && r.takeRetry(time.Now(), x) {
 				f.launch(ctx)
 			}
 		case <-ctx.Done():
@@ -173,52 +178,55 @@
 	}
 }
 
-// fanOut is a request at one or more upstreams at the same time.
+// fanOut tracks the concurrent and consecutive attempts of one request at several
+// upstreams.
 type fanOut struct {
-	r       *Router
-	x       *exchange
-	results chan attempt
-	tried   map[fleet.UpstreamID]bool
-	running int
-	ran     int // upstreams that may have run the request, or are at it
-	failure *outcome
+	r          *Router
+	x          *exchange
+	results    chan attempt
+	tried      map[fleet.UpstreamID]bool
+	running    int
+	mayHaveRun int // upstreams that have run, may have run or are running the request
+	failure    *outcome
 }
 
-// launch sends the request to one more upstream.
+// launch starts an attempt at one more upstream. If there is none, it returns the
+// reason.
 func (f *fanOut) launch(ctx context.Context) (string, bool) {
-	e, reason := f.r.choose(time.Now(), f.x, f.tried)
-	if e == nil {
+	upstream, reason := f.r.chooseUpstream(time.Now(), f.x, f.tried)
+	if upstream == nil {
 		return reason, false
 	}
-	f.tried[e.ID] = true
+	f.tried[upstream.ID] = true
 	f.running++
-	f.ran++
-	f.x.sends++
-	go func() { f.results <- f.r.send(ctx, f.x, e) }()
+	f.mayHaveRun++
+	f.x.arrivals++
+	go func() { f.results <- f.r.send(ctx, f.x, upstream) }()
 	return "", true
 }
 
-// take decides what the end of an attempt means.
-func (f *fanOut) take(ctx context.Context, a attempt) (outcome, bool) {
+// handleResult processes the end of an attempt. It returns the final outcome and true,
+// or false if other attempts are running or a new one was started.
+func (f *fanOut) handleResult(ctx context.Context, a attempt) (outcome, bool) {
 	x, now := f.x, time.Now()
-	if !a.ran() {
-		f.ran--
+	if !a.mayHaveRun() {
+		f.mayHaveRun--
 		var notSent *http1.NotSentError
 		if errors.As(a.err, &notSent) {
-			x.sends--
+			x.arrivals--
 		}
-		again := x.sends == 0 || f.r.mayRepeat(now, x)
-		if f.running == 0 && (!again || !f.relaunch(ctx)) {
-			return f.giveUp(ctx, refuse(http.StatusServiceUnavailable, "upstreams-full", retryFull)), true
+		retry := x.arrivals == 0 || f.r.takeRetry(now, x)
+		if f.running == 0 && (!retry || !f.relaunch(ctx)) {
+			return f.finalFailure(ctx, refuse(http.StatusServiceUnavailable, "upstreams-full", retryAfterFull)), true
 		}
 		return outcome{}, false
 	}
 	if a.err == nil && a.verdict != balance.Failed {
-		return fromUpstream(f.r.out.Protocol, a), true
+		return upstreamOutcome(f.r.platform.Protocol, a), true
 	}
 	failed := refuse(http.StatusBadGateway, "upstream-lost", 0)
 	if a.err == nil {
-		failed = fromUpstream(f.r.out.Protocol, a)
+		failed = upstreamOutcome(f.r.platform.Protocol, a)
 	}
 	if f.failure == nil || a.err == nil {
 		f.failure = &failed
@@ -226,10 +234,10 @@
 	if f.running > 0 {
 		return outcome{}, false
 	}
-	if x.route.Idempotent && f.ran < x.route.MaxAttempts && ctx.Err() == nil && f.r.mayRepeat(now, x) && f.relaunch(ctx) {
+	if x.route.Idempotent && f.mayHaveRun < x.route.MaxAttempts && ctx.Err() == nil && f.r.takeRetry(now, x) && f.relaunch(ctx) {
 		return outcome{}, false
 	}
-	return f.giveUp(ctx, failed), true
+	return f.finalFailure(ctx, failed), true
 }
 
 func (f *fanOut) relaunch(ctx context.Context) bool {
@@ -240,121 +248,127 @@
 	return ok
 }
 
-// giveUp returns the best failure: an upstream's own, else out. If something may
-// have run, the answer does not promise otherwise.
-func (f *fanOut) giveUp(ctx context.Context, out outcome) outcome {
+// finalFailure returns the outcome of a request whose attempts have all failed:
+// preferably an upstream's own error response, else out. If the request may have run,
+// the result does not state that it did not.
+func (f *fanOut) finalFailure(ctx context.Context, out outcome) outcome {
 	switch {
 	case f.failure != nil:
 		return *f.failure
-	case ctx.Err() != nil && f.ran > 0:
+	case ctx.Err() != nil && f.mayHaveRun > 0:
 		return refuse(http.StatusGatewayTimeout, "timeout", 0)
 	}
 	return out
 }
 
-// forwardToHolder sends x to the upstream that holds its key, and waits while the
-// key moves.
+// forwardToHolder sends x to the upstream that holds its key. It waits while the key is
+// being moved.
 func (r *Router) forwardToHolder(ctx context.Context, x *exchange) outcome {
-	if !x.asked.HasRouting {
+	if !x.info.HasRouting {
 		return refuse(http.StatusBadRequest, "no-routing-key", 0)
 	}
 	for {
-		changed := r.keysChanged()
-		e, reason := r.holder(time.Now(), x)
-		if e == nil {
-			if out, ok := r.awaitHolder(ctx, x, changed, reason, holderPatience); !ok {
+		changed := r.holderMapChanged()
+		upstream, reason := r.chooseHolder(time.Now(), x)
+		if upstream == nil {
+			if out, ok := r.awaitHolder(ctx, x, changed, reason, holderWaitShare); !ok {
 				return out
 			}
 			continue
 		}
-		x.sends++
-		a := r.send(ctx, x, e)
-		if a.err == nil && !a.answer.NotRun {
-			return fromUpstream(r.out.Protocol, a)
+		x.arrivals++
+		a := r.send(ctx, x, upstream)
+		if a.err == nil && !a.metadata.NotRun {
+			return upstreamOutcome(r.platform.Protocol, a)
 		}
-		if out, final := r.afterHolder(ctx, x, a, changed); final {
+		if out, final := r.handleHolderFailure(ctx, x, a, changed); final {
 			return out
 		}
 	}
 }
 
-// afterHolder decides whether x is sent again after a failed attempt.
-func (r *Router) afterHolder(ctx context.Context, x *exchange, a attempt, changed <-chan struct{}) (outcome, bool) {
+// handleHolderFailure decides whether x is sent again after a failed attempt. If not,
+// it returns the final outcome and true.
+func (r *Router) handleHolderFailure(ctx context.Context, x *exchange, a attempt, changed <-chan struct{}) (outcome, bool) {
 	if ctx.Err() != nil {
-		if a.ran() {
+		if a.mayHaveRun() {
 			return refuse(http.StatusGatewayTimeout, "timeout", 0), true
 		}
-		return refuse(http.StatusServiceUnavailable, "holder-unavailable", retryFull), true
+		return refuse(http.StatusServiceUnavailable, "holder-unavailable", retryAfterFull), true
 	}
 	var notSent *http1.NotSentError
-	again := false
+	retry := false
 	switch {
 	case errors.Is(a.err, http1.ErrTurnedAway):
-		return refuse(http.StatusServiceUnavailable, "holder-full", retryFull), true
+		return refuse(http.StatusServiceUnavailable, "holder-full", retryAfterFull), true
 	case errors.As(a.err, &notSent):
-		x.sends--
-		again = true
-		sleep(ctx, unreachablePause)
-	case a.ran():
-		if !x.route.Idempotent || !r.mayRepeat(time.Now(), x) {
-			return refuse(http.StatusBadGateway, "upstream-lost", retryLost), true
+		x.arrivals--
+		retry = true
+		sleep(ctx, unreachableRetryDelay)
+	case a.mayHaveRun():
+		if !x.route.Idempotent || !r.takeRetry(time.Now(), x) {
+			return refuse(http.StatusBadGateway, "upstream-lost", retryAfterHolderLost), true
 		}
-		again = true
-		sleep(ctx, lostPause*time.Duration(x.sends))
-	case a.answer.Moved:
-		if out, ok := r.awaitHolder(ctx, x, changed, "holder-moved", movedPatience); !ok {
+		retry = true
+		sleep(ctx, lostRetryDelay*time.Duration(x.arrivals))
+	case a.metadata.Moved:
+		if out, ok := r.awaitHolder(ctx, x, changed, "holder-moved", movedWaitShare); !ok {
 			return out, true
 		}
-		again = r.mayRepeat(time.Now(), x)
-	case a.answer.Load == nil || a.answer.Load.Queued() || x.sends > x.route.MaxAttempts:
-		return refuse(http.StatusServiceUnavailable, "holder-full", retryFull), true
+		retry = r.takeRetry(time.Now(), x)
+	case a.metadata.Load == nil || a.metadata.Load.Queued() || x.arrivals > x.route.MaxAttempts:
+		return refuse(http.StatusServiceUnavailable, "holder-full", retryAfterFull), true
 	default:
-		// It refuses a part of its requests without need; the next may be taken.
-		again = r.mayRepeat(time.Now(), x)
+		// The upstream refuses some requests although it has free slots; it may accept
+		// a repetition.
+		retry = r.takeRetry(time.Now(), x)
 	}
-	if !again {
-		return refuse(http.StatusServiceUnavailable, "retry-budget", retryFull), true
+	if !retry {
+		return refuse(http.StatusServiceUnavailable, "retry-budget", retryAfterFull), true
 	}
 	return outcome{}, false
 }
 
-// holder returns the upstream that holds the key of x and may get it now.
-func (r *Router) holder(now time.Time, x *exchange) (*balance.Entry, string) {
-	m := r.keys.Load()
-	if m == nil {
+// chooseHolder returns the upstream that holds the key of x if it may receive the
+// request now, else the reason why not.
+func (r *Router) chooseHolder(now time.Time, x *exchange) (*balance.Entry, string) {
+	holderMap := r.holderMap.Load()
+	if holderMap == nil {
 		return nil, "no-map"
 	}
-	id := m.Holder(x.service.ID, x.asked.RoutingKey)
+	id := holderMap.Holder(x.service.ID, x.info.RoutingKey)
 	if id == "" {
 		return nil, "key-moves"
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.upstreams.Get(id)
-	if e == nil {
+	upstream := r.upstreams.Get(id)
+	if upstream == nil {
 		return nil, "holder-gone"
 	}
-	if left, leaves := r.leaves[id]; leaves && e.Draining && now.Sub(left) > drainUse {
+	if since, leaving := r.leavingSince[id]; leaving && upstream.Draining && now.Sub(since) > drainingHolderUse {
 		return nil, "holder-leaves"
 	}
-	if at, evacuated := r.evacuates[e.Zone]; evacuated && now.Sub(at) > evacuateUse {
+	if since, evacuated := r.evacuatedSince[upstream.Zone]; evacuated && now.Sub(since) > evacuatedHolderUse {
 		return nil, "holder-evacuated"
 	}
-	if !r.upstreams.AdmitCold(now, e) {
+	if !r.upstreams.AdmitCold(now, upstream) {
 		return nil, "holder-cold"
 	}
-	r.upstreams.Started(now, e)
-	return e, ""
+	r.upstreams.Started(now, upstream)
+	return upstream, ""
 }
 
-// awaitHolder waits for another map while x still has the time to be served.
-func (r *Router) awaitHolder(ctx context.Context, x *exchange, changed <-chan struct{}, reason string, targets float64) (outcome, bool) {
-	patience := time.Duration(targets * float64(x.route.Target))
-	wait := min(time.Until(x.deadline), patience-time.Since(x.began))
+// awaitHolder waits for a change of the holder map or for holderPollInterval, as long
+// as x can still be answered in time. It returns false and a refusal otherwise. The
+// wait since the request's arrival is limited to share times the target latency.
+func (r *Router) awaitHolder(ctx context.Context, x *exchange, changed <-chan struct{}, reason string, share float64) (outcome, bool) {
+	maxWait := time.Duration(share * float64(x.route.Target))
+	wait := min(time.Until(x.deadline), maxWait-time.Since(x.receivedAt))
 	if wait <= 0 {
-		return refuse(http.StatusServiceUnavailable, reason, retryLost), false
+		return refuse(http.StatusServiceUnavailable, reason, retryAfterHolderLost), false
 	}
-	t := time.NewTimer(min(wait, holderPoll))
+	t := time.NewTimer(min(wait, holderPollInterval))
 	defer t.Stop()
 	select {
 	case <-changed:
@@ -363,20 +377,21 @@
 		if errors.Is(ctx.Err(), context.Canceled) {
 			return refuse(http.StatusGatewayTimeout, "caller-left", 0), false
 		}
-		return refuse(http.StatusServiceUnavailable, reason, retryFull), false
+		return refuse(http.StatusServiceUnavailable, reason, retryAfterFull), false
 	}
 	return outcome{}, true
 }
 
-// holderPatience is the part of the target for which a request waits for a holder.
-// A key that moves is served again within it; the caller of one that is lost is
-// told to come back.
-const holderPatience = 0.8
+// holderWaitShare is the share of the route's target latency for which a request waits
+// for a holder. A key that is being moved has a holder again within it. If the holder
+// was lost, the caller is refused with a retry delay.
+const holderWaitShare = 0.8
 
-// movedPatience is the same for a request that has waited at a former holder: it is
-// late already, and a late answer is worth more than none.
-const movedPatience = 1.8
+// movedWaitShare replaces holderWaitShare for a request that has already waited at a
+// former holder: its answer will be late, but a late answer is better than none.
+const movedWaitShare = 1.8
 
-// holderPoll is the time after which a waiting request looks again without a new
-// map, since an upstream may be warm or listed by then.
-const holderPoll = 250 * time.Millisecond
+// holderPollInterval is the time after which a waiting request checks for a holder
+// again even without a new map, since an upstream may have warmed up or been listed
+// meanwhile.
+const holderPollInterval = 250 * time.Millisecond
--- a/internal/direct/homes.go
+++ b/internal/direct/homes.go
@@ -19,21 +19,23 @@
 
 const (
 	tokensPath = "/tokens"
-	// homeTimeout bounds the question to a home, which answers within a few
-	// milliseconds; beyond it the next home is asked.
+	// homeTimeout bounds the request for a token to a home, which normally answers
+	// within a few milliseconds. After a timeout the next home is asked.
 	homeTimeout = 120 * time.Millisecond
-	// homePause is how long a home that did not answer is not asked.
-	homePause = 400 * time.Millisecond
-	// homesTried is the number of homes that are asked, in the account's order of
-	// instances. An instance that restarts stays in the list for memberSilent.
-	homesTried = 2
-	// withoutHome is the number of even parts that an instance counts with if no home
-	// answers, for each instance: the others may reach the home, which admits the whole
-	// limit.
-	withoutHome = 2
+	// homeRetryDelay is the time for which a home that did not answer is not asked
+	// again.
+	homeRetryDelay = 400 * time.Millisecond
+	// homesPerAccount is the number of instances that are asked for a token, in the
+	// order of the account's rendezvous hashes. An instance that is restarting stays in
+	// the list of instances for memberTimeout.
+	homesPerAccount = 2
+	// fallbackDivisor reduces the share of the limit that an instance admits while no
+	// home answers, to 1/fallbackDivisor of an even share: other instances may still
+	// reach the home, which admits the whole limit.
+	fallbackDivisor = 2
 )
 
-// withinLimit reports whether the limit of x's account admits x, and else the time
+// withinLimit reports whether the limit of x's account admits x, and if not, the time
 // until it may.
 func (r *Router) withinLimit(ctx context.Context, x *exchange) (bool, time.Duration) {
 	id, limit := x.account.ID, x.account.Limit
@@ -41,75 +43,77 @@
 	n := r.instanceCount()
 	if quota.Divided(limit, n) || len(r.instances) == 0 {
 		defer r.mu.Unlock()
-		return r.quota.Admit(x.began, id, limit, n)
+		return r.quota.Admit(x.receivedAt, id, limit, n)
 	}
-	r.quota.CountedElsewhere(x.began, id, limit)
-	homes := r.homesOf(x.began, id)
+	r.quota.CountedElsewhere(x.receivedAt, id, limit)
+	homes := r.availableHomes(x.receivedAt, id)
 	if len(homes) > 0 && homes[0].ID == r.cfg.Instance {
 		defer r.mu.Unlock()
-		return r.home.Admit(x.began, id, limit)
+		return r.homeQuota.Admit(x.receivedAt, id, limit)
 	}
 	r.mu.Unlock()
 	for _, home := range homes {
 		if home.ID == r.cfg.Instance {
-			continue // it would count beside the home that the others ask
+			continue // other instances ask the first home; counting here too would admit more
 		}
-		ok, wait, err := r.askHome(ctx, home, id)
+		ok, wait, err := r.requestToken(ctx, home, id)
 		r.mu.Lock()
 		if err == nil {
-			r.lone.CountedElsewhere(x.began, id, limit)
+			r.fallbackQuota.CountedElsewhere(x.receivedAt, id, limit)
 			r.mu.Unlock()
 			return ok, wait
 		}
-		r.homesDown[home.ID] = time.Now()
+		r.homeFailedAt[home.ID] = time.Now()
 		r.mu.Unlock()
-		r.log.Info("home of an account does not answer", "request", x.asked.ID, "account", id, "home", home.ID, "error", err)
+		r.log.Info("account home did not answer", "request", x.info.ID, "account", id, "home", home.ID, "error", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lone.Admit(x.began, id, limit, withoutHome*n)
+	return r.fallbackQuota.Admit(x.receivedAt, id, limit, fallbackDivisor*n)
 }
 
-// homesOf returns the instances that count the account's requests, the one to ask
-// first at first: those with the highest hashes (rendezvous hashing) that answered
-// lately. The caller holds mu.
-func (r *Router) homesOf(now time.Time, id fleet.AccountID) []fleet.Peer {
-	homes, known := r.homes[id]
+// availableHomes returns the instances that may count the account's requests, in the
+// order in which they are to be asked: those with the highest rendezvous hashes,
+// without those that recently failed to answer. The caller must hold mu.
+func (r *Router) availableHomes(now time.Time, id fleet.AccountID) []fleet.Peer {
+	homes, known := r.homesByAccount[id]
 	if !known {
-		homes = rendezvous(id, r.instances, homesTried)
-		r.homes[id] = homes
+		homes = rendezvous(id, r.instances, homesPerAccount)
+		r.homesByAccount[id] = homes
 	}
-	var up []fleet.Peer
+	var available []fleet.Peer
 	for _, p := range homes {
-		if down, failed := r.homesDown[p.ID]; !failed || now.Sub(down) > homePause {
-			up = append(up, p)
+		if failedAt, failed := r.homeFailedAt[p.ID]; !failed || now.Sub(failedAt) > homeRetryDelay {
+			available = append(available, p)
 		}
 	}
-	return up
+	return available
 }
 
-// rendezvous returns the n first of peers in the account's own order.
+// rendezvous returns the n peers with the highest rendezvous hashes for the account,
+// highest first.
 func rendezvous(id fleet.AccountID, peers []fleet.Peer, n int) []fleet.Peer {
-	var best []fleet.Peer
+	var selected []fleet.Peer
 	var hashes []uint64
 	for _, p := range peers {
 		h := xxhash.Sum64String(string(id) + "/" + string(p.ID))
-		at := len(best)
-		for at > 0 && h > hashes[at-1] {
-			at--
+		pos := len(selected)
+		for pos > 0 && h > hashes[pos-1] {
+			pos--
 		}
-		if at >= n {
+		if pos >= n {
 			continue
 		}
-		best = append(best[:at], append([]fleet.Peer{p}, best[at:]...)...)
-		hashes = append(hashes[:at], append([]uint64{h}, hashes[at:]...)...)
-		best, hashes = best[:min(n, len(best))], hashes[:min(n, len(hashes))]
+		selected = append(selected[:pos], append([]fleet.Peer{p}, selected[pos:]...)...)
+		hashes = append(hashes[:pos], append([]uint64{h}, hashes[pos:]...)...)
+		selected, hashes = selected[:min(n, len(selected))], hashes[:min(n, len(hashes))]
 	}
-	return best
+	return selected
 }
 
-// askHome asks the home of an account for a token.
-func (r *Router) askHome(ctx context.Context, home fleet.Peer, id fleet.AccountID) (bool, time.Duration, error) {
+// requestToken requests a token from a home of the account. If it is denied, the
+// duration is the time until the next token.
+func (r *Router) requestToken(ctx context.Context, home fleet.Peer, id fleet.AccountID) (bool, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, homeTimeout)
 	defer cancel()
 	res, err := r.peers.Do(ctx, home.Addr, &http1.Request{Method: http.MethodGet, Target: tokensPath + "?" + url.QueryEscape(string(id))}, nil)
@@ -120,18 +124,18 @@
 	case http.StatusOK:
 		return true, 0, nil
 	case http.StatusTooManyRequests:
-		ms, err := strconv.ParseInt(strings.TrimSpace(string(res.Body)), 10, 64)
+		waitMillis, err := strconv.ParseInt(strings.TrimSpace(string(res.Body)), 10, 64)
 		if err != nil {
-			return false, 0, errors.Wrap(err, "time until a token")
+			return false, 0, errors.Wrap(err, "decode the time until the next token")
 		}
-		return false, time.Duration(ms) * time.Millisecond, nil
+		return false, time.Duration(waitMillis) * time.Millisecond, nil
 	}
-	return false, 0, errors.Errorf("status %d", res.Status)
+	return false, 0, errors.Errorf("unexpected status %d", res.Status)
 }
 
-// giveToken answers another instance that asks for a token of an account that this
-// one is the home of.
-func (r *Router) giveToken(w http.ResponseWriter, req *http.Request) {
+// serveToken handles a token request of another instance for an account whose home is
+// this instance.
+func (r *Router) serveToken(w http.ResponseWriter, req *http.Request) {
 	id, err := url.QueryUnescape(req.URL.RawQuery)
 	var account routes.Account
 	known := false
@@ -147,7 +151,7 @@
 		return
 	}
 	r.mu.Lock()
-	ok, wait := r.home.Admit(time.Now(), account.ID, account.Limit)
+	ok, wait := r.homeQuota.Admit(time.Now(), account.ID, account.Limit)
 	r.mu.Unlock()
 	if ok {
 		w.WriteHeader(http.StatusOK)
@@ -155,6 +159,6 @@
 	}
 	w.WriteHeader(http.StatusTooManyRequests)
 	if _, err := w.Write([]byte(strconv.FormatInt(wait.Milliseconds(), 10))); err != nil {
-		r.log.Debug("home's answer not delivered", "account", account.ID, "error", err)
+		r.log.Debug("sending the answer to a token request failed", "account", account.ID, "error", err)
 	}
 }
--- a/internal/direct/lead.go
+++ b/internal/direct/lead.go
@@ -22,103 +22,111 @@
 )
 
 const (
-	// leaderLease is the time after which the instances elect another leader. It is
-	// short against the hold of grants, so that they outlast an election.
-	leaderLease = 1500 * time.Millisecond
-	// leaseMargin is how much earlier a leader stops to rely on its lease.
+	// leaderLeaseTTL is the time after which a silent leader's lease expires and
+	// another one can be elected. It is short compared with grantTTL, so that grants
+	// outlast an election.
+	leaderLeaseTTL = 1500 * time.Millisecond
+	// leaseMargin is how long before the end of its lease a leader stops relying on it.
 	leaseMargin = 250 * time.Millisecond
-	// keepEvery is the time between two renewals of the lease.
-	keepEvery = 400 * time.Millisecond
-	// hold is how long grants last. A lost upstream's keys are served again after it;
-	// an election must take less.
-	hold = 2500 * time.Millisecond
-	// renewGrants is the time between two renewals of a grant.
-	renewGrants = 500 * time.Millisecond
-	// retryGrants is the time after which a call to an upstream that failed is
-	// repeated.
-	retryGrants = 200 * time.Millisecond
-	// orderTimeout bounds a grant, which a busy upstream answers late. releaseTimeout
-	// bounds a release, which is answered when the requests in progress have ended.
-	orderTimeout   = 800 * time.Millisecond
+	// leaseRenewInterval is the time between two renewals of the leader's lease.
+	leaseRenewInterval = 400 * time.Millisecond
+	// grantTTL is the validity of a grant. The keys of a lost upstream get a new holder
+	// after it. An election must take less.
+	grantTTL = 2500 * time.Millisecond
+	// grantRenewInterval is the time between two renewals of a grant.
+	grantRenewInterval = 500 * time.Millisecond
+	// grantRetryDelay is the delay before a failed call to an upstream is repeated.
+	grantRetryDelay = 200 * time.Millisecond
+	// grantTimeout bounds a grant call, which a busy upstream answers late.
+	// releaseTimeout bounds a release call, which is answered once the requests in
+	// progress have ended.
+	grantTimeout   = 800 * time.Millisecond
 	releaseTimeout = 2500 * time.Millisecond
-	// leadTick is the pace of a leader's calls, planEvery that of its plans.
-	leadTick  = 25 * time.Millisecond
-	planEvery = 100 * time.Millisecond
-	// fleetSettles is the time after which all instances have found a new leader: those
-	// that start again with it within a second, others once the former one is silent.
-	fleetSettles = 5 * time.Second
-	// recordedShare is the part of the recorded number of instances below which a lower
-	// one is recorded. Each record is a priced call; a fleet that starts with too high a
-	// number refuses that much more until the leader tells the right one.
-	recordedShare = 0.8
-	// publishEvery is the least time between two maps for each paceInstances instances,
-	// since each map is told to all.
-	publishEvery = 25 * time.Millisecond
+	// leaderTick is the interval at which a leader starts due calls, planInterval the
+	// interval at which it plans key moves.
+	leaderTick   = 25 * time.Millisecond
+	planInterval = 100 * time.Millisecond
+	// fleetSettleTime is the time within which all instances find a new leader: those
+	// that restart together with it within a second, the others once the former leader
+	// is silent.
+	fleetSettleTime = 5 * time.Second
+	// minRecordedShare is the share of the recorded number of instances below which a
+	// smaller number is recorded. Each write is charged for, so small decreases are not
+	// recorded. A fleet that restarts with too high a recorded number refuses
+	// proportionally more requests until the leader sends the correct one.
+	minRecordedShare = 0.8
+	// publishInterval is the shortest time between two holder maps for each
+	// smallFleetSize instances, since each map is sent to all instances.
+	publishInterval = 25 * time.Millisecond
 )
 
-// leaderInfo is the leader as an instance knows it.
+// leaderInfo describes the leader as known to an instance.
 type leaderInfo struct {
-	id    fleet.InstanceID
-	addr  string
-	term  uint64
-	heard time.Time
+	id      fleet.InstanceID
+	addr    string
+	term    uint64    // revision of the leader key
+	heardAt time.Time // last answer, or when the leader was found
 }
 
-// leadership is the state of the instance that leads. Its loop alone uses owner.
+// leadership is the state of the leading instance. Only the loop in Router.lead uses
+// owner.
 type leadership struct {
-	term       uint64 // revision of the leader key
-	lease      LeaseID
-	validTill  time.Duration // on the boot clock
-	owner      *keyspace.Owner
-	recordRev  fleet.Revision
-	results    chan callResult
-	saved      chan saveResult
-	kept       chan keepResult
-	reports    chan report
-	saving     bool
-	keeping    bool
-	keepDue    time.Time
-	planDue    time.Time
-	publishDue time.Time // of the next map
-	members    map[fleet.InstanceID]member
-	began      time.Time
-	recorded   []fleet.Peer // the instances, as the former leader recorded them
-	// recordedSize is the number of instances that this leader recorded last.
-	recordedSize int
-	stop         chan struct{} // closed by end
-	once         sync.Once
+	term              uint64 // revision of the leader key
+	lease             LeaseID
+	validUntil        time.Duration // on the clock of bootClock
+	owner             *keyspace.Owner
+	recordRev         fleet.Revision // revision of the stored ownership record
+	callResults       chan callResult
+	saveResults       chan saveResult
+	renewResults      chan renewResult
+	reports           chan report
+	saving            bool
+	renewing          bool
+	renewDue          time.Time
+	planDue           time.Time
+	publishDue        time.Time // when the next holder map may be published
+	members           map[fleet.InstanceID]member
+	startedAt         time.Time
+	recordedInstances []fleet.Peer // instances in the ownership record of the former leader
+	// recordedCount is the number of instances that this leader last recorded.
+	recordedCount int
+	stop          chan struct{} // closed by end
+	stopOnce      sync.Once
 }
 
-// end tells everything that works for the leader that it does not lead any more.
-func (l *leadership) end() { l.once.Do(func() { close(l.stop) }) }
+// end signals all goroutines that work for the leader to stop.
+func (l *leadership) end() { l.stopOnce.Do(func() { close(l.stop) }) }
 
-// member is what a leader knows of an instance.
+// member holds what the leader knows about an instance.
 type member struct {
 	addr     string
-	heard    time.Time
-	demand   map[fleet.AccountID]float64
-	storeAge time.Duration
+	heardAt  time.Time                   // last report
+	demand   map[fleet.AccountID]float64 // requests/s
+	storeAge time.Duration               // since its last successful store call, at heardAt
 }
 
+// callResult is the result of a grant or release call to an upstream.
 type callResult struct {
 	call     keyspace.Call
 	result   keyspace.Result
 	handover string
 }
 
+// saveResult is the result of a write of the ownership record.
 type saveResult struct {
-	rev    fleet.Revision
-	err    error
-	stored func() // to call if err is nil
+	rev      fleet.Revision // of the stored record
+	err      error
+	onStored func() // called if err is nil
 }
 
-type keepResult struct {
-	asked time.Duration
-	err   error
+// renewResult is the result of a renewal of the leader's lease.
+type renewResult struct {
+	sentAt time.Duration // on the clock of bootClock
+	err    error
 }
 
-// bootClock counts also the time in which the machine is suspended, which the
-// monotonic clock of package time leaves out.
+// bootClock returns the time since the machine's boot. Unlike the monotonic clock of
+// package time, it includes the time for which the machine was suspended.
 func bootClock() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -127,8 +135,9 @@
 	return time.Duration(ts.Nano())
 }
 
-// abdicate ends the leadership, so that another instance takes over at once.
-func (r *Router) abdicate() {
+// resign ends the leadership and its lease, so that another instance can be elected
+// immediately.
+func (r *Router) resign() {
 	r.mu.Lock()
 	l := r.leadership
 	r.mu.Unlock()
@@ -138,26 +147,27 @@
 	l.end()
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	if err := r.out.Store.EndLease(ctx, l.lease); err != nil {
-		r.log.Warn("lease not ended", "error", err)
+	if err := r.platform.Store.EndLease(ctx, l.lease); err != nil {
+		r.log.Warn("ending the leader lease failed", "error", err)
 	}
 }
 
-// lead decides on key holders until the lease is lost.
+// lead runs the leader's loop, which assigns keys to upstreams, until the leadership
+// ends.
 func (r *Router) lead(ctx context.Context, l *leadership) {
 	r.log.Info("leading", "term", l.term, "record-revision", l.recordRev)
 	r.mu.Lock()
 	r.leadership, r.totalDemand = l, nil
-	r.leader = leaderInfo{id: r.cfg.Instance, addr: r.cfg.PeerListen, term: l.term, heard: time.Now()}
+	r.leader = leaderInfo{id: r.cfg.Instance, addr: r.cfg.PeerListen, term: l.term, heardAt: time.Now()}
 	r.mu.Unlock()
 	defer func() {
 		l.end()
 		r.mu.Lock()
 		r.leadership = nil
 		r.mu.Unlock()
-		r.log.Info("not leading any more", "term", l.term)
+		r.log.Info("leadership ended", "term", l.term)
 	}()
-	tick := time.NewTicker(leadTick)
+	tick := time.NewTicker(leaderTick)
 	defer tick.Stop()
 	for {
 		select {
@@ -165,23 +175,23 @@
 			return
 		case <-l.stop:
 			return
-		case res := <-l.results:
+		case res := <-l.callResults:
 			l.owner.Ended(time.Now(), res.call, res.result, res.handover)
-		case res := <-l.saved:
-			if !r.afterSave(l, res) {
+		case res := <-l.saveResults:
+			if !r.handleSaveResult(l, res) {
 				return
 			}
-		case res := <-l.kept:
-			l.keeping = false
+		case res := <-l.renewResults:
+			l.renewing = false
 			if errors.Is(res.err, ErrLeaseEnded) {
 				return
 			}
 			if res.err == nil {
-				l.validTill = res.asked + leaderLease - leaseMargin
+				l.validUntil = res.sentAt + leaderLeaseTTL - leaseMargin
 			}
-			r.storeAnswered(time.Now(), res.err)
+			r.noteStoreResult(time.Now(), res.err)
 		case rep := <-l.reports:
-			r.takeReport(time.Now(), l, rep)
+			r.applyReport(time.Now(), l, rep)
 		case <-tick.C:
 			if !r.leadStep(ctx, l) {
 				return
@@ -190,100 +200,100 @@
 	}
 }
 
-// leadStep does what is due. It returns false if the instance may not lead any
-// more.
+// leadStep does the work that is due. It returns false if the instance may not lead any
+// longer.
 func (r *Router) leadStep(ctx context.Context, l *leadership) bool {
 	now := time.Now()
-	if !now.Before(l.keepDue) && !l.keeping {
-		l.keeping, l.keepDue = true, now.Add(keepEvery)
-		go r.keepLease(ctx, l)
+	if !now.Before(l.renewDue) && !l.renewing {
+		l.renewing, l.renewDue = true, now.Add(leaseRenewInterval)
+		go r.renewLease(ctx, l)
 	}
-	sure := bootClock() < l.validTill
-	if !sure && !r.storeAway(now, l) {
+	leaseValid := bootClock() < l.validUntil
+	if !leaseValid && !r.storeDownForAll(now, l) {
 		return false
 	}
 	if !now.Before(l.planDue) {
-		l.planDue = now.Add(planEvery)
-		r.takeReport(now, l, r.ownReport(now))
+		l.planDue = now.Add(planInterval)
+		r.applyReport(now, l, r.collectReport(now))
 		r.updateMembers(now, l)
 		r.sumDemand(now, l)
 		r.setCandidates(now, l)
-		if sure {
+		if leaseValid {
 			l.owner.Plan(now)
 			r.logMoves(l)
 		}
 	}
-	if sure {
-		r.save(ctx, now, l)
+	if leaseValid {
+		r.saveRecord(ctx, now, l)
 	}
 	for _, c := range l.owner.Calls(now) {
-		r.order(ctx, l, c)
+		r.sendCall(ctx, l, c)
 	}
 	if now.Before(l.publishDue) {
 		return true
 	}
-	if m, changed := l.owner.Map(); changed {
-		l.publishDue = now.Add(publishEvery * time.Duration(len(l.members)) / paceInstances)
-		r.setKeys(m)
+	if holderMap, changed := l.owner.Map(); changed {
+		l.publishDue = now.Add(publishInterval * time.Duration(len(l.members)) / smallFleetSize)
+		r.setHolderMap(holderMap)
 	}
 	return true
 }
 
-// storeAway reports whether the store seems to be away for all instances, so that
-// nobody else can have been elected: most instances report, and none of them has
-// reached the store since this instance did. Instances that rely on the leader ask
-// the store themselves once its knowledge is too old.
-func (r *Router) storeAway(now time.Time, l *leadership) bool {
+// storeDownForAll reports whether the store seems to be unavailable to all instances,
+// so that no other leader can have been elected: most instances report, and none of
+// them has reached the store since this instance last did. Instances that rely on the
+// leader call the store themselves once the leader's state is stale.
+func (r *Router) storeDownForAll(now time.Time, l *leadership) bool {
 	r.mu.Lock()
-	own := r.storeSeen
+	ownAnswer := r.storeAnsweredAt
 	r.mu.Unlock()
-	fresh, silent := 0, r.currentPace()+silenceMargin
+	reporting, timeout := 0, r.currentLongPollWait()+leaderSilenceMargin
 	for id, m := range l.members {
-		if id != r.cfg.Instance && m.heard.Add(-m.storeAge).After(own.Add(leaseMargin)) {
+		if id != r.cfg.Instance && m.heardAt.Add(-m.storeAge).After(ownAnswer.Add(leaseMargin)) {
 			return false
 		}
-		if now.Sub(m.heard) < silent {
-			fresh++
+		if now.Sub(m.heardAt) < timeout {
+			reporting++
 		}
 	}
-	return fresh*2 > len(l.members)
+	return reporting*2 > len(l.members)
 }
 
-func (r *Router) keepLease(ctx context.Context, l *leadership) {
+func (r *Router) renewLease(ctx context.Context, l *leadership) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	asked := bootClock()
-	err := r.out.Store.KeepLease(ctx, l.lease)
-	l.kept <- keepResult{asked: asked, err: err}
+	sentAt := bootClock()
+	err := r.platform.Store.KeepLease(ctx, l.lease)
+	l.renewResults <- renewResult{sentAt: sentAt, err: err}
 }
 
-// save stores the record if it changed.
-func (r *Router) save(ctx context.Context, now time.Time, l *leadership) {
+// saveRecord stores the ownership record if it has changed.
+func (r *Router) saveRecord(ctx context.Context, now time.Time, l *leadership) {
 	if l.saving {
 		return
 	}
-	rec, stored, changed := l.owner.Save(now)
+	record, onStored, changed := l.owner.Save(now)
 	if !changed {
 		return
 	}
 	l.saving = true
-	w := Write{Key: ownershipKey, Value: rec.Encode(), Expect: l.recordRev}
-	also := Condition{Key: leaderKey, Expect: fleet.Revision(l.term)}
+	w := Write{Key: ownershipKey, Value: record.Encode(), Expect: l.recordRev}
+	condition := Condition{Key: leaderKey, Expect: fleet.Revision(l.term)}
 	go func() {
-		rev, err := r.put(ctx, l, w, also)
-		l.saved <- saveResult{rev: rev, err: err, stored: stored}
+		rev, err := r.putWithRetry(ctx, l, w, condition)
+		l.saveResults <- saveResult{rev: rev, err: err, onStored: onStored}
 	}()
 }
 
-// put repeats a write until its outcome is known. A write without an answer may
-// still be carried out, but it is the same one.
-func (r *Router) put(ctx context.Context, l *leadership, w Write, also Condition) (fleet.Revision, error) {
+// putWithRetry repeats a write until its outcome is known. An unanswered write may
+// still be executed later, which is harmless as it writes the same value.
+func (r *Router) putWithRetry(ctx context.Context, l *leadership, w Write, condition Condition) (fleet.Revision, error) {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
-		rev, err := r.out.Store.Put(callCtx, w, also)
+		rev, err := r.platform.Store.Put(callCtx, w, condition)
 		if errors.Is(err, ErrConflict) {
 			var it Item
-			if it, err = r.out.Store.Get(callCtx, w.Key); err == nil {
+			if it, err = r.platform.Store.Get(callCtx, w.Key); err == nil {
 				rev, err = it.Revision, ErrConflict
 				if string(it.Value) == string(w.Value) {
 					err = nil
@@ -294,79 +304,81 @@
 		if err == nil || errors.Is(err, ErrConflict) || ctx.Err() != nil {
 			return rev, err
 		}
-		r.log.Warn("ownership record not stored", "error", err, "term", l.term)
+		r.log.Warn("storing the ownership record failed", "error", err, "term", l.term)
 		select {
 		case <-l.stop:
 			return 0, err
-		case <-time.After(storePause):
+		case <-time.After(storeRetryDelay):
 		}
-		if bootClock() > l.validTill+leaderLease {
+		if bootClock() > l.validUntil+leaderLeaseTTL {
 			return 0, err
 		}
 	}
 }
 
-// afterSave takes over the outcome of a write. It returns false if another
-// instance leads.
-func (r *Router) afterSave(l *leadership, res saveResult) bool {
+// handleSaveResult processes the outcome of a write of the ownership record. It returns
+// false if the write failed, since another instance may lead.
+func (r *Router) handleSaveResult(l *leadership, res saveResult) bool {
 	l.saving = false
 	if res.err != nil {
-		r.log.Warn("ownership record not stored", "error", res.err, "term", l.term)
+		r.log.Warn("storing the ownership record failed", "error", res.err, "term", l.term)
 		return false
 	}
 	l.recordRev = res.rev
-	res.stored()
+	res.onStored()
 	return true
 }
 
-// order carries out a call to an upstream.
-func (r *Router) order(ctx context.Context, l *leadership, c keyspace.Call) {
+// sendCall sends a grant or release to an upstream.
+func (r *Router) sendCall(ctx context.Context, l *leadership, c keyspace.Call) {
 	r.mu.Lock()
-	e := r.upstreams.Get(c.Upstream)
+	upstream := r.upstreams.Get(c.Upstream)
 	addr := ""
-	if e != nil && e.Boot == c.Boot {
-		addr = e.Addr
+	if upstream != nil && upstream.Boot == c.Boot {
+		addr = upstream.Addr
 	}
 	r.mu.Unlock()
 	go func() {
 		res := callResult{call: c, result: keyspace.NotSent}
 		if addr != "" {
-			timeout := orderTimeout
+			timeout := grantTimeout
 			if c.Release {
 				timeout = releaseTimeout
 			}
 			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			var err error
-			res.result, res.handover, err = r.out.Holders.Order(callCtx, addr, c)
+			res.result, res.handover, err = r.platform.Holders.Order(callCtx, addr, c)
 			cancel()
-			r.logOrder(c, res, err)
+			r.logCall(c, res, err)
 		}
 		select {
-		case l.results <- res:
+		case l.callResults <- res:
 		case <-l.stop:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-func (r *Router) logOrder(c keyspace.Call, res callResult, err error) {
-	r.metrics.order(c.Release, res.result)
+// logCall logs and counts the result of a grant or release call.
+func (r *Router) logCall(c keyspace.Call, res callResult, err error) {
+	r.metrics.countCall(c.Release, res.result)
 	if res.result == keyspace.Done && !c.Release && c.Handover == "" {
-		return // renewals are many
+		return // renewals are too frequent to be logged
 	}
-	r.log.Info("order to upstream", "upstream", c.Upstream, "service", c.Service, "first", c.From, "last", c.To,
+	r.log.Info("grant or release call finished", "upstream", c.Upstream, "service", c.Service, "first", c.From, "last", c.To,
 		"fence", c.Fence, "release", c.Release, "result", res.result.String(), "warm", res.handover != "" || c.Handover != "", "error", err)
 }
 
+// logMoves logs and counts the newly planned moves of key spans.
 func (r *Router) logMoves(l *leadership) {
 	for _, m := range l.owner.Moves() {
-		r.metrics.moved(m.Cause)
-		r.log.Info("keys planned to move", "service", m.Service, "from", m.From, "to", m.To, "first", m.Span.From, "last", m.Span.To,
+		r.metrics.countMove(m.Cause)
+		r.log.Info("key span move planned", "service", m.Service, "from", m.From, "to", m.To, "first", m.Span.From, "last", m.Span.To,
 			"cause", m.Cause, "rate", m.Rate, "term", l.term)
 	}
 }
 
-// setCandidates tells the owner which upstreams may hold keys.
+// setCandidates passes the upstreams that may hold keys to the owner.
 func (r *Router) setCandidates(now time.Time, l *leadership) {
 	op := r.operator.Load()
 	if op == nil || op.Table == nil {
@@ -374,20 +386,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.listed.IsZero() {
+	if r.listedAt.IsZero() {
 		return
 	}
 	for id, s := range op.Table.Services {
 		if !s.Sharded {
 			continue
 		}
-		l.owner.SetUpstreams(now, id, r.candidates(now, id))
+		l.owner.SetUpstreams(now, id, r.holderCandidates(now, id))
 	}
 }
 
-// candidates describes the upstreams of a service to the owner of its keys. The
-// caller holds mu.
-func (r *Router) candidates(now time.Time, id fleet.ServiceID) []keyspace.Upstream {
+// holderCandidates describes the upstreams of a service to the keyspace owner. The
+// caller must hold mu.
+func (r *Router) holderCandidates(now time.Time, id fleet.ServiceID) []keyspace.Upstream {
 	entries := r.upstreams.Service(id)
 	mean := 0.0
 	for _, e := range entries {
@@ -404,41 +416,44 @@
 	return list
 }
 
-// minServiceTime keeps an upstream that answered at once a few times from
-// being planned with all keys; in seconds.
+// minServiceTime, in seconds, bounds the assumed service time from below. Otherwise an
+// upstream that answered a few requests immediately would be assigned all keys.
 const minServiceTime = 0.005
 
-// updateMembers forgets instances that do not report any more.
+// updateMembers removes instances that have stopped reporting. It records the current
+// instances if their number has grown, or fallen below minRecordedShare of the recorded
+// number.
 func (r *Router) updateMembers(now time.Time, l *leadership) {
-	var known []fleet.Peer
+	var current []fleet.Peer
 	for id, m := range l.members {
-		if now.Sub(m.heard) > memberSilent {
+		if now.Sub(m.heardAt) > memberTimeout {
 			delete(l.members, id)
-			r.log.Info("instance lost", "instance", id)
+			r.log.Info("instance removed after missing reports", "instance", id)
 			continue
 		}
-		known = append(known, fleet.Peer{ID: id, Addr: m.addr})
+		current = append(current, fleet.Peer{ID: id, Addr: m.addr})
 	}
-	known = fleetOf(known, l.recorded, now.Sub(l.began))
-	small := float64(len(known)) < float64(l.recordedSize)*recordedShare
-	l.owner.SetInstances(known, small || len(known) > l.recordedSize)
-	if small || len(known) > l.recordedSize {
-		l.recordedSize = len(known)
+	current = mergeInstances(current, l.recordedInstances, now.Sub(l.startedAt))
+	shrunk := float64(len(current)) < float64(l.recordedCount)*minRecordedShare
+	l.owner.SetInstances(current, shrunk || len(current) > l.recordedCount)
+	if shrunk || len(current) > l.recordedCount {
+		l.recordedCount = len(current)
 	}
-	r.setInstances(known)
+	r.setInstances(current)
 }
 
-// fleetOf returns the instances that share bounds, in the order of their ids, of which
-// a leader knows some since it began. Those that have not reported to it yet use
-// their parts all the same.
-func fleetOf(known, recorded []fleet.Peer, led time.Duration) []fleet.Peer {
+// mergeInstances returns the instances that share limits, ordered by ID. reporting are
+// those that have reported to the leader. For the first fleetSettleTime of its
+// leadership, the recorded ones are included: they use their shares of the limits even
+// before they report.
+func mergeInstances(reporting, recorded []fleet.Peer, leadingFor time.Duration) []fleet.Peer {
 	all := make(map[fleet.InstanceID]fleet.Peer)
-	if led < fleetSettles {
+	if leadingFor < fleetSettleTime {
 		for _, p := range recorded {
 			all[p.ID] = p
 		}
 	}
-	for _, p := range known {
+	for _, p := range reporting {
 		all[p.ID] = p
 	}
 	return slices.SortedFunc(maps.Values(all), func(a, b fleet.Peer) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/direct/message.go
+++ b/internal/direct/message.go
@@ -18,9 +18,9 @@
 	}
 	e.FieldStart("demand")
 	e.ObjStart()
-	for id, d := range demand {
+	for id, rate := range demand {
 		e.FieldStart(string(id))
-		e.Float64(math.Round(d*100) / 100)
+		e.Float64(math.Round(rate*100) / 100)
 	}
 	e.ObjEnd()
 }
@@ -35,17 +35,17 @@
 	return out, err
 }
 
-func decodeSpeeds(d *jx.Decoder) (map[fleet.UpstreamID]balance.Samples, error) {
+func decodeServiceTimes(d *jx.Decoder) (map[fleet.UpstreamID]balance.Samples, error) {
 	out := make(map[fleet.UpstreamID]balance.Samples)
 	err := d.Obj(func(d *jx.Decoder, id string) error {
-		var n []int
+		var values []int
 		err := d.Arr(func(d *jx.Decoder) error {
 			v, err := d.Int()
-			n = append(n, v)
+			values = append(values, v)
 			return err
 		})
-		if err == nil && len(n) == 4 {
-			out[fleet.UpstreamID(id)] = balance.Samples{N: n[0], Sum: float64(n[1]) / 1000, Queued: n[2], Lost: n[3]}
+		if err == nil && len(values) == 4 {
+			out[fleet.UpstreamID(id)] = balance.Samples{N: values[0], Sum: float64(values[1]) / 1000, Queued: values[2], Lost: values[3]}
 		}
 		return err
 	})
@@ -60,13 +60,13 @@
 	e.FieldStart("addr")
 	e.Str(r.Addr)
 	e.FieldStart("term")
-	e.UInt64(r.Version.Term)
+	e.UInt64(r.MapVersion.Term)
 	e.FieldStart("map")
-	e.UInt64(r.Version.Seq)
+	e.UInt64(r.MapVersion.Seq)
 	e.FieldStart("store-age-ms")
 	e.Int64(r.StoreAge.Milliseconds())
 	e.FieldStart("instances")
-	e.UInt64(r.Instances)
+	e.UInt64(r.InstancesHash)
 	e.FieldStart("list-term")
 	e.UInt64(r.ListTerm)
 	e.FieldStart("list")
@@ -74,11 +74,11 @@
 	e.FieldStart("operator-seq")
 	e.UInt64(r.OperatorSeq)
 	e.FieldStart("operator")
-	e.Str(r.Operator)
+	e.Str(r.OperatorTag)
 	encodeDemand(&e, r.Demand)
 	e.FieldStart("speeds")
 	e.ObjStart()
-	for id, s := range r.Speeds { // answers without a queue, sum of their times in ms, answers with one, lost requests
+	for id, s := range r.ServiceTimes { // [answers without a queue, sum of their times in ms, answers with a queue, lost requests]
 		e.FieldStart(string(id))
 		e.ArrStart()
 		e.Int(s.N)
@@ -114,13 +114,13 @@
 		case "addr":
 			r.Addr, err = d.Str()
 		case "term":
-			r.Version.Term, err = d.UInt64()
+			r.MapVersion.Term, err = d.UInt64()
 		case "map":
-			r.Version.Seq, err = d.UInt64()
+			r.MapVersion.Seq, err = d.UInt64()
 		case "store-age-ms":
 			r.StoreAge, err = decodeMillis(d)
 		case "instances":
-			r.Instances, err = d.UInt64()
+			r.InstancesHash, err = d.UInt64()
 		case "list-term":
 			r.ListTerm, err = d.UInt64()
 		case "list":
@@ -128,11 +128,11 @@
 		case "operator-seq":
 			r.OperatorSeq, err = d.UInt64()
 		case "operator":
-			r.Operator, err = d.Str()
+			r.OperatorTag, err = d.Str()
 		case "demand":
 			r.Demand, err = decodeDemand(d)
 		case "speeds":
-			r.Speeds, err = decodeSpeeds(d)
+			r.ServiceTimes, err = decodeServiceTimes(d)
 		case "keys":
 			err = d.Obj(func(d *jx.Decoder, id string) error {
 				return d.Arr(func(d *jx.Decoder) error {
@@ -147,7 +147,7 @@
 		return err
 	})
 	if err == nil && r.Instance == "" {
-		err = errors.New("report: instance is missing")
+		err = errors.New("report: instance ID is missing")
 	}
 	return r, err
 }
@@ -157,13 +157,13 @@
 	e.ObjStart()
 	e.FieldStart("term")
 	e.UInt64(r.Term)
-	if len(r.Instances) > 0 {
+	if len(r.Members) > 0 {
 		e.FieldStart("instances")
-		fleet.EncodePeers(&e, r.Instances)
+		fleet.EncodePeers(&e, r.Members)
 	}
 	encodeDemand(&e, r.Demand)
 	e.FieldStart("operator")
-	e.Str(r.Operator)
+	e.Str(r.OperatorTag)
 	e.FieldStart("operator-seq")
 	e.UInt64(r.OperatorSeq)
 	if r.OperatorRevision > 0 {
@@ -184,7 +184,7 @@
 	e.Int64(r.OperatorAge.Milliseconds())
 	e.FieldStart("list")
 	r.List.encode(&e)
-	if r.Version.Seq > 0 {
+	if r.MapVersion.Seq > 0 {
 		e.FieldStart("map")
 		r.encodeMap(&e)
 	}
@@ -192,29 +192,29 @@
 	return e.Bytes()
 }
 
-// encodeMap writes each span as its first key, its last key and the position of its
-// holder in a list.
+// encodeMap encodes each span as three numbers: its first key, its last key and the
+// index of its holder in the list "holders".
 func (r reply) encodeMap(e *jx.Encoder) {
 	e.ObjStart()
 	e.FieldStart("seq")
-	e.UInt64(r.Version.Seq)
+	e.UInt64(r.MapVersion.Seq)
 	e.FieldStart("whole")
-	e.Bool(r.Whole)
+	e.Bool(r.WholeMap)
 	var holders []fleet.UpstreamID
-	at := make(map[fleet.UpstreamID]int)
+	index := make(map[fleet.UpstreamID]int)
 	e.FieldStart("services")
 	e.ObjStart()
-	for id, spans := range r.Held {
+	for id, spans := range r.MapSpans {
 		e.FieldStart(string(id))
 		e.ArrStart()
 		for _, h := range spans {
-			if _, known := at[h.Holder]; !known {
-				at[h.Holder] = len(holders)
+			if _, known := index[h.Holder]; !known {
+				index[h.Holder] = len(holders)
 				holders = append(holders, h.Holder)
 			}
 			e.UInt64(uint64(h.From))
 			e.UInt64(uint64(h.To))
-			e.Int(at[h.Holder])
+			e.Int(index[h.Holder])
 		}
 		e.ArrEnd()
 	}
@@ -235,11 +235,11 @@
 		case "term":
 			r.Term, err = d.UInt64()
 		case "instances":
-			r.Instances, err = fleet.DecodePeers(d)
+			r.Members, err = fleet.DecodePeers(d)
 		case "demand":
 			r.Demand, err = decodeDemand(d)
 		case "operator":
-			r.Operator, err = d.Str()
+			r.OperatorTag, err = d.Str()
 		case "operator-seq":
 			r.OperatorSeq, err = d.UInt64()
 		case "operator-revision":
@@ -266,24 +266,24 @@
 		}
 		return err
 	})
-	r.Version.Term = r.Term
+	r.MapVersion.Term = r.Term
 	return r, err
 }
 
 func (r *reply) decodeMap(d *jx.Decoder) error {
 	var holders []fleet.UpstreamID
-	numbers := make(map[fleet.ServiceID][]int)
+	spans := make(map[fleet.ServiceID][]int)
 	err := d.Obj(func(d *jx.Decoder, field string) (err error) {
 		switch field {
 		case "seq":
-			r.Version.Seq, err = d.UInt64()
+			r.MapVersion.Seq, err = d.UInt64()
 		case "whole":
-			r.Whole, err = d.Bool()
+			r.WholeMap, err = d.Bool()
 		case "services":
 			err = d.Obj(func(d *jx.Decoder, id string) error {
 				return d.Arr(func(d *jx.Decoder) error {
 					n, err := d.Int()
-					numbers[fleet.ServiceID(id)] = append(numbers[fleet.ServiceID(id)], n)
+					spans[fleet.ServiceID(id)] = append(spans[fleet.ServiceID(id)], n)
 					return err
 				})
 			})
@@ -301,13 +301,13 @@
 	if err != nil {
 		return err
 	}
-	r.Held = make(map[fleet.ServiceID][]keyspace.Held)
-	for id, n := range numbers {
+	r.MapSpans = make(map[fleet.ServiceID][]keyspace.Held)
+	for id, n := range spans {
 		for ; len(n) >= 3; n = n[3:] {
 			if n[2] < 0 || n[2] >= len(holders) {
-				return errors.Errorf("map: holder %d of %d", n[2], len(holders))
+				return errors.Errorf("map: holder index %d out of range for %d holders", n[2], len(holders))
 			}
-			r.Held[id] = append(r.Held[id], keyspace.Held{Span: keyspace.Span{From: keyspace.Key(n[0]), To: keyspace.Key(n[1])}, Holder: holders[n[2]]})
+			r.MapSpans[id] = append(r.MapSpans[id], keyspace.Held{Span: keyspace.Span{From: keyspace.Key(n[0]), To: keyspace.Key(n[1])}, Holder: holders[n[2]]})
 		}
 	}
 	return nil
--- a/internal/direct/metrics.go
+++ b/internal/direct/metrics.go
@@ -12,102 +12,104 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Metrics counts what an instance does.
+// Metrics holds the Prometheus collectors of an instance.
 type Metrics struct {
-	registry *prometheus.Registry
-	duration *prometheus.HistogramVec // service
-	answers  *prometheus.CounterVec   // code, reason
-	store    *prometheus.CounterVec   // call, outcome
-	orders   *prometheus.CounterVec   // order, result
-	moves    *prometheus.CounterVec   // cause
-	dropped  prometheus.Counter
+	registry        *prometheus.Registry
+	requestDuration *prometheus.HistogramVec // by service
+	answers         *prometheus.CounterVec   // by code, reason
+	storeCalls      *prometheus.CounterVec   // by call, outcome
+	upstreamCalls   *prometheus.CounterVec   // by order, result
+	keyMoves        *prometheus.CounterVec   // by cause
+	droppedLogLines prometheus.Counter
 
-	// What the instance knows, brought up to date by observe before it is read.
-	observe   func(now time.Time)
-	age       *prometheus.GaugeVec // of
-	leading   prometheus.Gauge
-	instances prometheus.Gauge
-	version   prometheus.Gauge
-	upstreams *prometheus.GaugeVec // service, state
+	// Gauges of the instance's state, which refreshGauges updates before each scrape.
+	refreshGauges        func(now time.Time)
+	knowledgeAge         *prometheus.GaugeVec // by of: the kind of state
+	leading              prometheus.Gauge
+	instances            prometheus.Gauge
+	configurationVersion prometheus.Gauge
+	upstreams            *prometheus.GaugeVec // by service, state
 }
 
-// durationBuckets are in seconds; they are dense around the targets of routes.
+// durationBuckets are the upper bounds of the duration histogram, in seconds. They are
+// dense around the target latencies of routes.
 var durationBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1, 1.5, 2, 3, 6}
 
 // NewMetrics returns collectors without any observation.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
-		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		requestDuration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "parsleyproxy_direct_request_duration_seconds", Help: "Time from a request to its answer.", Buckets: durationBuckets,
 		}, []string{"service"}),
 		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "parsleyproxy_direct_answers_total", Help: "Answers to callers; the reason is empty if an upstream made the answer.",
 		}, []string{"code", "reason"}),
-		store: prometheus.NewCounterVec(prometheus.CounterOpts{
+		storeCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "parsleyproxy_direct_store_calls_total", Help: "Calls to the platform's store.",
 		}, []string{"call", "outcome"}),
-		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
+		upstreamCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "parsleyproxy_direct_orders_total", Help: "Grants and releases sent to upstreams.",
 		}, []string{"order", "result"}),
-		moves: prometheus.NewCounterVec(prometheus.CounterOpts{
+		keyMoves: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "parsleyproxy_direct_key_moves_total", Help: "Spans of keys that the leader planned to move.",
 		}, []string{"cause"}),
-		dropped: prometheus.NewCounter(prometheus.CounterOpts{
+		droppedLogLines: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "parsleyproxy_direct_log_lines_dropped_total", Help: "Log lines that were not written, since the output was too slow or the rate too high.",
 		}),
 	}
-	m.age = prometheus.NewGaugeVec(prometheus.GaugeOpts{
+	m.knowledgeAge = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "parsleyproxy_direct_knowledge_age_seconds", Help: "Time since what the instance knows was known to be true.",
 	}, []string{"of"})
 	m.leading = prometheus.NewGauge(prometheus.GaugeOpts{Name: "parsleyproxy_direct_leading", Help: "1 if the instance leads."})
 	m.instances = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "parsleyproxy_direct_instances", Help: "Instances that share limits and bounds, as this one knows them.",
 	})
-	m.version = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.configurationVersion = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "parsleyproxy_direct_configuration_version", Help: "Version of the configuration in force; 0 if there is none.",
 	})
 	m.upstreams = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "parsleyproxy_direct_upstreams", Help: "Upstreams by what this instance thinks of them.",
 	}, []string{"service", "state"})
-	m.registry.MustRegister(m.duration, m.answers, m.store, m.orders, m.moves, m.dropped)
-	m.registry.MustRegister(m.age, m.leading, m.instances, m.version, m.upstreams)
+	m.registry.MustRegister(m.requestDuration, m.answers, m.storeCalls, m.upstreamCalls, m.keyMoves, m.droppedLogLines)
+	m.registry.MustRegister(m.knowledgeAge, m.leading, m.instances, m.configurationVersion, m.upstreams)
 	return m
 }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	text := promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if m.observe != nil {
-			m.observe(time.Now())
+		if m.refreshGauges != nil {
+			m.refreshGauges(time.Now())
 		}
 		text.ServeHTTP(w, req)
 	})
 }
 
-// observeKnowledge tells the metrics what the instance knows and how old that is.
-func (r *Router) observeKnowledge(now time.Time) {
+// updateGauges sets the gauges to the instance's state and the age of that state at
+// now.
+func (r *Router) updateGauges(now time.Time) {
 	m := r.metrics
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for of, since := range map[string]time.Time{
-		"upstreams": r.listed, "configuration": r.operatorChecked, "leader": r.leader.heard, "store": r.storeSeen,
+		"upstreams": r.listedAt, "configuration": r.operatorConfirmedAt, "leader": r.leader.heardAt, "store": r.storeAnsweredAt,
 	} {
 		if since.IsZero() {
-			m.age.DeleteLabelValues(of) // nothing is known yet
+			m.knowledgeAge.DeleteLabelValues(of) // unknown so far
 			continue
 		}
-		m.age.WithLabelValues(of).Set(now.Sub(since).Seconds())
+		m.knowledgeAge.WithLabelValues(of).Set(now.Sub(since).Seconds())
 	}
 	m.leading.Set(0)
 	if r.leadership != nil {
 		m.leading.Set(1)
-		m.age.WithLabelValues("leader").Set(0)
+		m.knowledgeAge.WithLabelValues("leader").Set(0)
 	}
 	m.instances.Set(float64(len(r.instances)))
 	if op := r.operator.Load(); op != nil && op.Table != nil {
-		m.version.Set(float64(op.Table.Version))
+		m.configurationVersion.Set(float64(op.Table.Version))
 	}
 	m.upstreams.Reset()
 	for service, states := range r.upstreams.States(now) {
@@ -118,22 +120,22 @@
 }
 
 // StoreCall counts a call to the store.
-func (m *Metrics) StoreCall(call, outcome string) { m.store.WithLabelValues(call, outcome).Inc() }
+func (m *Metrics) StoreCall(call, outcome string) { m.storeCalls.WithLabelValues(call, outcome).Inc() }
 
 // LogDropped counts a log line that was not written.
-func (m *Metrics) LogDropped() { m.dropped.Inc() }
+func (m *Metrics) LogDropped() { m.droppedLogLines.Inc() }
 
-func (m *Metrics) moved(cause string) { m.moves.WithLabelValues(cause).Inc() }
+func (m *Metrics) countMove(cause string) { m.keyMoves.WithLabelValues(cause).Inc() }
 
-func (m *Metrics) request(service fleet.ServiceID, status int, reason string, took time.Duration) {
-	m.duration.WithLabelValues(string(service)).Observe(took.Seconds())
+func (m *Metrics) countRequest(service fleet.ServiceID, status int, reason string, took time.Duration) {
+	m.requestDuration.WithLabelValues(string(service)).Observe(took.Seconds())
 	m.answers.WithLabelValues(strconv.Itoa(status), reason).Inc()
 }
 
-func (m *Metrics) order(release bool, result keyspace.Result) {
+func (m *Metrics) countCall(release bool, result keyspace.Result) {
 	order := "grant"
 	if release {
 		order = "release"
 	}
-	m.orders.WithLabelValues(order, result.String()).Inc()
+	m.upstreamCalls.WithLabelValues(order, result.String()).Inc()
 }
--- a/internal/direct/metrics_test.go
+++ b/internal/direct/metrics_test.go
@@ -13,17 +13,18 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/routes"
 )
 
-// Guards against metrics that show old knowledge as fresh, or none as known.
-func TestKnowledgeIsShown(t *testing.T) {
+// Guards against gauges that show stale state as fresh, or an age for state that is
+// unknown.
+func TestGaugesShowKnowledgeAge(t *testing.T) {
 	m := NewMetrics()
 	r := New(Settings{Instance: "i1"}, Platform{}, m, hclog.NewNullLogger())
-	shown := func(pattern string) []string {
+	exported := func(pattern string) []string {
 		w := httptest.NewRecorder()
 		m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 		return regexp.MustCompile("(?m)^parsleyproxy_direct_"+pattern).FindAllString(w.Body.String(), -1)
 	}
-	if got := shown(`knowledge_age_seconds.*`); len(got) > 0 {
-		t.Errorf("ages of what is not known: %q", got)
+	if got := exported(`knowledge_age_seconds.*`); len(got) > 0 {
+		t.Errorf("ages of unknown state: %q", got)
 	}
 	now := time.Now()
 	r.setOperator(now, Operator{Table: routes.NewTable(7, nil, nil, nil, nil)})
@@ -35,8 +36,8 @@
 		`configuration_version 7`, `instances 3`, `leading 0`, `knowledge_age_seconds{of="upstreams"} 60`,
 		`upstreams{service="s",state="cold"} 1`, `upstreams{service="s",state="leaving"} 1`, `upstreams{service="s",state="usable"} 1`,
 	} {
-		if diff := cmp.Diff(1, len(shown(regexp.QuoteMeta(want)))); diff != "" {
-			t.Errorf("%s: %s", want, diff)
+		if diff := cmp.Diff(1, len(exported(regexp.QuoteMeta(want)))); diff != "" {
+			t.Errorf("number of lines with %s: %s", want, diff)
 		}
 	}
 }
--- a/internal/direct/pack.go
+++ b/internal/direct/pack.go
@@ -12,46 +12,49 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/http1"
 )
 
-// packFrom is the size of a reply in bytes from which it is compressed. Lists of
-// upstreams and configurations shrink to a tenth; smaller replies are mostly numbers.
-const packFrom = 2 << 10
+// minCompressSize is the size in bytes from which a reply is compressed. Lists of
+// upstreams and configurations shrink to a tenth of their size; smaller replies consist
+// mostly of numbers.
+const minCompressSize = 2 << 10
 
 const (
-	headerEncoding = "Content-Encoding"
-	packed         = "deflate"
+	headerEncoding  = "Content-Encoding"
+	deflateEncoding = "deflate"
 )
 
-var packers = sync.Pool{New: func() any {
+var deflateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is a constant
+		panic(err) // impossible: the level is a valid constant
 	}
 	return w
 }}
 
-// pack compresses the body of a reply if that is worth it, and notes so in its header.
-func pack(h http.Header, body []byte) []byte {
-	if len(body) < packFrom {
+// compressReply compresses the body of a reply of at least minCompressSize bytes, and
+// sets the content encoding in h.
+func compressReply(h http.Header, body []byte) []byte {
+	if len(body) < minCompressSize {
 		return body
 	}
 	var b bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := deflateWriters.Get().(*flate.Writer)
+	defer deflateWriters.Put(w)
 	w.Reset(&b)
-	_, _ = w.Write(body) // a buffer takes every write
+	_, _ = w.Write(body) // writes to a bytes.Buffer do not fail
 	_ = w.Close()
-	h.Set(headerEncoding, packed)
+	h.Set(headerEncoding, deflateEncoding)
 	return b.Bytes()
 }
 
-// unpack returns the body of a reply as it was before pack.
-func unpack(res *http1.Response) ([]byte, error) {
+// decompressReply reverses compressReply. The decompressed body is limited to
+// maxPeerBody bytes.
+func decompressReply(res *http1.Response) ([]byte, error) {
 	switch encoding := res.Header.Get(headerEncoding); encoding {
 	case "":
 		return res.Body, nil
-	case packed:
+	case deflateEncoding:
 	default:
-		return nil, errors.Errorf("%s %q, want %q", headerEncoding, encoding, packed)
+		return nil, errors.Errorf("%s %q, want %q", headerEncoding, encoding, deflateEncoding)
 	}
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(res.Body)), maxPeerBody+1))
 	if err != nil {
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -15,25 +15,25 @@
 
 const (
 	leaderPath = "/leader"
-	// peersAsked is the number of others that an instance asks for the leader at a time,
-	// and peerTimeout how long it waits for each.
-	peersAsked  = 2
-	peerTimeout = 200 * time.Millisecond
+	// leaderQueryPeers is the number of other instances that an instance asks for the
+	// leader in one attempt, leaderQueryTimeout the time that it waits for each.
+	leaderQueryPeers   = 2
+	leaderQueryTimeout = 200 * time.Millisecond
 )
 
-// fingerprint tells lists of peers apart. It is 0 for an empty one.
+// fingerprint returns a hash of a list of peers, 0 for an empty one.
 func fingerprint(peers []fleet.Peer) uint64 {
 	if len(peers) == 0 {
 		return 0
 	}
 	h := xxhash.New()
 	for _, p := range peers {
-		_, _ = h.WriteString(string(p.ID) + " " + p.Addr + "\n") // a hash takes every write
+		_, _ = h.WriteString(string(p.ID) + " " + p.Addr + "\n") // writes to a hash do not fail
 	}
 	return h.Sum64()
 }
 
-func ids(peers []fleet.Peer) []fleet.InstanceID {
+func instanceIDs(peers []fleet.Peer) []fleet.InstanceID {
 	out := make([]fleet.InstanceID, 0, len(peers))
 	for _, p := range peers {
 		out = append(out, p.ID)
@@ -41,27 +41,27 @@
 	return out
 }
 
-// askPeers asks other instances for a leader that this one does not know yet, for
-// when the store serves others only. It reports whether there is one, and follows
-// it.
-func (r *Router) askPeers(ctx context.Context) bool {
+// findLeaderThroughPeers asks other instances for a leader with a higher term than the
+// known one, for the case that the store answers other instances but not this one. If
+// it finds one, it sets it as leader and returns true.
+func (r *Router) findLeaderThroughPeers(ctx context.Context) bool {
 	r.mu.Lock()
-	var asked []fleet.Peer
+	var candidates []fleet.Peer
 	for _, i := range r.rng.Perm(len(r.instances)) {
-		if p := r.instances[i]; p.ID != r.cfg.Instance && p.ID != r.leader.id && len(asked) < peersAsked {
-			asked = append(asked, p)
+		if p := r.instances[i]; p.ID != r.cfg.Instance && p.ID != r.leader.id && len(candidates) < leaderQueryPeers {
+			candidates = append(candidates, p)
 		}
 	}
 	term := r.leader.term
 	r.mu.Unlock()
-	for _, p := range asked {
-		info, err := r.askLeader(ctx, p)
+	for _, p := range candidates {
+		info, err := r.queryLeader(ctx, p)
 		if err != nil {
-			r.log.Debug("instance does not tell the leader", "instance", p.ID, "error", err)
+			r.log.Debug("querying another instance for the leader failed", "instance", p.ID, "error", err)
 			continue
 		}
 		if info.term > term && info.id != r.cfg.Instance {
-			r.log.Info("leader told by an instance", "instance", p.ID, "leader", info.id, "term", info.term)
+			r.log.Info("leader learned from another instance", "instance", p.ID, "leader", info.id, "term", info.term)
 			r.setLeader(info)
 			return true
 		}
@@ -69,17 +69,17 @@
 	return false
 }
 
-func (r *Router) askLeader(ctx context.Context, p fleet.Peer) (leaderInfo, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+func (r *Router) queryLeader(ctx context.Context, p fleet.Peer) (leaderInfo, error) {
+	ctx, cancel := context.WithTimeout(ctx, leaderQueryTimeout)
 	defer cancel()
 	res, err := r.peers.Do(ctx, p.Addr, &http1.Request{Method: http.MethodGet, Target: leaderPath}, nil)
 	if err != nil {
 		return leaderInfo{}, err
 	}
 	if res.Status != http.StatusOK {
-		return leaderInfo{}, errors.Errorf("status %d", res.Status)
+		return leaderInfo{}, errors.Errorf("unexpected status %d", res.Status)
 	}
-	info := leaderInfo{heard: time.Now()}
+	info := leaderInfo{heardAt: time.Now()}
 	err = jx.DecodeBytes(res.Body).Obj(func(d *jx.Decoder, field string) (err error) {
 		switch field {
 		case "id":
@@ -98,11 +98,11 @@
 	return info, err
 }
 
-// tellLeader answers another instance that does not know the leader.
-func (r *Router) tellLeader(w http.ResponseWriter) {
+// serveLeader answers another instance's query for the leader.
+func (r *Router) serveLeader(w http.ResponseWriter) {
 	r.mu.Lock()
 	info := r.leader
-	known := info.term > 0 && (r.leadership != nil || time.Since(info.heard) < pace(len(r.instances))+silenceMargin)
+	known := info.term > 0 && (r.leadership != nil || time.Since(info.heardAt) < longPollWait(len(r.instances))+leaderSilenceMargin)
 	r.mu.Unlock()
 	if !known {
 		w.WriteHeader(http.StatusNotFound)
@@ -118,6 +118,6 @@
 	e.UInt64(info.term)
 	e.ObjEnd()
 	if _, err := w.Write(e.Bytes()); err != nil {
-		r.log.Debug("leader not told", "error", err)
+		r.log.Debug("sending the leader to another instance failed", "error", err)
 	}
 }
--- a/internal/direct/reload.go
+++ b/internal/direct/reload.go
@@ -12,17 +12,17 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// reloadEvery is the time between two looks at the settings, which may change
+// reloadInterval is the time between two reads of the settings, which may change
 // without a signal.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
-// watchSettings takes over changed settings: the tolerances and the time to shut
-// down. Addresses and the identity stay until the next start.
+// watchSettings applies changed settings: the quota tolerance, the retry limit and the
+// shutdown grace time. Addresses and the instance's identity only change on a restart.
 func (r *Router) watchSettings(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(reloadEvery)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		signalled := false
@@ -38,24 +38,24 @@
 }
 
 func (r *Router) reload(signalled bool) {
-	next, err := r.out.Settings()
+	next, err := r.platform.Settings()
 	if err != nil {
-		r.log.Error("settings not reloaded", "error", err)
+		r.log.Error("reloading the settings failed", "error", err)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed := next != r.settingsRead
-	r.settingsRead = next
+	changed := next != r.lastSettings
+	r.lastSettings = next
 	if changed {
 		r.cfg.Grace = next.Grace
 		if next.Retry != r.cfg.Retry {
 			r.cfg.Retry = next.Retry
-			r.budgets = make(map[fleet.ServiceID]*balance.Budget)
+			r.retryBudgets = make(map[fleet.ServiceID]*balance.Budget)
 		}
 		if next.Quota != r.cfg.Quota {
 			r.cfg.Quota = next.Quota
-			for _, t := range []interface{ SetConfig(quota.Config) }{r.quota, r.lone, r.home} {
+			for _, t := range []interface{ SetConfig(quota.Config) }{r.quota, r.fallbackQuota, r.homeQuota} {
 				t.SetConfig(quota.Config(next.Quota))
 			}
 		}
--- a/internal/direct/report.go
+++ b/internal/direct/report.go
@@ -18,133 +18,141 @@
 
 const (
 	reportPath = "/reports"
-	// reportWait is how long a leader keeps a report unanswered while it has no news;
-	// it is the pace at which demand is shared. It grows with the number of instances
-	// above paceInstances, up to maxReportWait: a leader of 70 instances on 0.16 of a
-	// core did not keep up with a report from each every 300 ms.
-	reportWait    = 300 * time.Millisecond
-	maxReportWait = 700 * time.Millisecond
-	paceInstances = 12
-	// demandPace is the part of the pace within which demand is told once. Reports that
-	// news have cut short follow each other within some 100 ms, in which demand, averaged
-	// over a second, hardly changes.
-	demandPace = 0.9
-	// replyMargin is how much longer than that a reply may take before it is given up,
-	// and silenceMargin before the instance looks for another leader.
-	replyMargin     = 400 * time.Millisecond
-	silenceMargin   = 500 * time.Millisecond
-	peerDialTimeout = 300 * time.Millisecond
-	peerIdle        = 10 * time.Second
-	maxPeerBody     = 1 << 20
-	// maxReportedKeys bounds a report; at the design rate an instance sees fewer
-	// requests to a service between two reports.
+	// minLongPollWait is how long a leader holds a report without answering while it
+	// has no updates; demand is exchanged at this interval. The wait grows with the
+	// number of instances above smallFleetSize, up to maxLongPollWait: a leader of 70
+	// instances with 0.16 of a CPU core could not keep up with a report from each
+	// instance every 300 ms.
+	minLongPollWait = 300 * time.Millisecond
+	maxLongPollWait = 700 * time.Millisecond
+	// smallFleetSize is the number of instances up to which the leader can handle a
+	// report from each every minLongPollWait, so that any instance can lead.
+	smallFleetSize = 12
+	// demandIntervalShare is the share of the long-poll wait within which demand is
+	// reported at most once. Reports whose wait was cut short by updates follow each
+	// other within about 100 ms, in which demand, averaged over a second, hardly
+	// changes.
+	demandIntervalShare = 0.9
+	// replyTimeoutMargin is added to the long-poll wait to get the timeout of a report,
+	// leaderSilenceMargin to get the silence after which an instance looks for another
+	// leader.
+	replyTimeoutMargin  = 400 * time.Millisecond
+	leaderSilenceMargin = 500 * time.Millisecond
+	peerDialTimeout     = 300 * time.Millisecond
+	peerIdleTimeout     = 10 * time.Second
+	maxPeerBody         = 1 << 20 // bytes
+	// maxReportedKeys bounds the keys in a report for each service. At the design rate,
+	// an instance receives fewer requests to a service between two reports.
 	maxReportedKeys = 2000
-	// memberSilent is the time after which a leader forgets an instance.
-	memberSilent = 4 * time.Second
+	// memberTimeout is the time without reports after which a leader removes an
+	// instance.
+	memberTimeout = 4 * time.Second
 )
 
-// pace returns how long a leader of n instances keeps a report unanswered.
-func pace(n int) time.Duration {
-	return min(max(reportWait, reportWait*time.Duration(n)/paceInstances), maxReportWait)
+// longPollWait returns how long a leader of n instances holds a report while it has no
+// updates.
+func longPollWait(n int) time.Duration {
+	return min(max(minLongPollWait, minLongPollWait*time.Duration(n)/smallFleetSize), maxLongPollWait)
 }
 
-// currentPace returns the pace for the instances that are known.
-func (r *Router) currentPace() time.Duration {
+// currentLongPollWait returns longPollWait for the number of known instances.
+func (r *Router) currentLongPollWait() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return pace(len(r.instances))
+	return longPollWait(len(r.instances))
 }
 
-// report is what an instance tells the leader.
+// report is the message that an instance sends to the leader.
 type report struct {
-	Instance    fleet.InstanceID
-	Addr        string              // where other instances reach it
-	Version     keyspace.MapVersion // of its map
-	Keys        map[fleet.ServiceID][]keyspace.Key
-	Demand      map[fleet.AccountID]float64          // nil if it was told within the pace
-	Speeds      map[fleet.UpstreamID]balance.Samples // of sharded services
-	StoreAge    time.Duration
-	Instances   uint64 // fingerprint of those that it knows
-	ListTerm    uint64 // of the leader whose list it has
-	ListSeq     uint64 // of that list
-	OperatorSeq uint64 // the last change of the operators' wishes that this leader told
-	Operator    string // the tag of those that it knows
+	Instance      fleet.InstanceID
+	Addr          string                               // where other instances reach the sender
+	MapVersion    keyspace.MapVersion                  // version of the sender's holder map
+	Keys          map[fleet.ServiceID][]keyspace.Key   // requested by callers since the last report
+	Demand        map[fleet.AccountID]float64          // requests/s; nil if reported recently
+	ServiceTimes  map[fleet.UpstreamID]balance.Samples // only of sharded services
+	StoreAge      time.Duration                        // time since the sender's last successful store call
+	InstancesHash uint64                               // fingerprint of the instances that the sender knows
+	ListTerm      uint64                               // term of the leader that sent the sender's list of upstreams
+	ListSeq       uint64                               // version of this list
+	OperatorSeq   uint64                               // last version of the operator state received from this leader
+	OperatorTag   string                               // tag of the sender's operator state
 }
 
-// reply is what the leader answers.
+// reply is the leader's answer to a report.
 type reply struct {
 	Term uint64
-	// The map's version, 0 if the instance has it, and what the instance's map lacks:
-	// everything if Whole.
-	Version   keyspace.MapVersion
-	Whole     bool
-	Held      map[fleet.ServiceID][]keyspace.Held
-	Instances []fleet.Peer                // empty if they have not changed
-	Demand    map[fleet.AccountID]float64 // of all instances; nil if it was told within the pace
-	List      listDelta
-	// The operators' wishes as the leader knows them, and the time since it was told
-	// that they have not changed.
-	Operator    string
-	OperatorSeq uint64 // counts their changes at this leader
+	// MapVersion is 0 if the instance has the current holder map. Else MapSpans holds
+	// the changes from the instance's map, or the whole map if WholeMap is set.
+	MapVersion keyspace.MapVersion
+	WholeMap   bool
+	MapSpans   map[fleet.ServiceID][]keyspace.Held
+	Members    []fleet.Peer                // empty if unchanged
+	Demand     map[fleet.AccountID]float64 // requests/s of all instances; nil if the report has none, or the sum is unknown
+	List       listDelta
+	// The leader's operator state, and the time since the leader knew it to be current.
+	OperatorTag string
+	OperatorSeq uint64 // version of the operator state, counted by this leader
 	OperatorAge time.Duration
-	// What the instance lacks of them.
-	Source           []byte // the configuration, empty if the instance has it
+	// The parts that differ from the instance's operator state.
+	Source           []byte // encoded configuration; empty if the instance has it
 	Evacuated        []fleet.ZoneID
 	OperatorRevision fleet.Revision
 }
 
-// ownReport collects what happened since the last report.
-func (r *Router) ownReport(now time.Time) report {
+// collectReport returns a report of what was observed since the last one.
+func (r *Router) collectReport(now time.Time) report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rep := report{Instance: r.cfg.Instance, Addr: r.cfg.PeerListen, Keys: r.asked, StoreAge: r.storeAge(now)}
-	r.asked = make(map[fleet.ServiceID][]keyspace.Key)
-	if now.Sub(r.demandReported) >= time.Duration(demandPace*float64(pace(len(r.instances)))) {
-		rep.Demand, r.demandReported = r.quota.Demand(now), now
-		r.ownDemand = rep.Demand
+	rep := report{Instance: r.cfg.Instance, Addr: r.cfg.PeerListen, Keys: r.requestedKeys, StoreAge: r.storeAge(now)}
+	r.requestedKeys = make(map[fleet.ServiceID][]keyspace.Key)
+	if now.Sub(r.demandReportedAt) >= time.Duration(demandIntervalShare*float64(longPollWait(len(r.instances)))) {
+		rep.Demand, r.demandReportedAt = r.quota.Demand(now), now
+		r.reportedDemand = rep.Demand
 	}
 	op := r.operator.Load()
-	rep.Speeds = r.upstreams.TakeSamples(func(id fleet.ServiceID) bool {
+	rep.ServiceTimes = r.upstreams.TakeSamples(func(id fleet.ServiceID) bool {
 		return op != nil && op.Table != nil && op.Table.Services[id].Sharded
 	})
-	rep.Instances = fingerprint(r.instances)
-	rep.ListTerm, rep.ListSeq = r.followed.term, r.followed.seq
-	rep.OperatorSeq, rep.Operator = r.operatorTold, op.Tag()
-	if m := r.keys.Load(); m != nil {
-		rep.Version = m.Version
+	rep.InstancesHash = fingerprint(r.instances)
+	rep.ListTerm, rep.ListSeq = r.listReplica.term, r.listReplica.seq
+	rep.OperatorSeq, rep.OperatorTag = r.operatorSeqReceived, op.Tag()
+	if m := r.holderMap.Load(); m != nil {
+		rep.MapVersion = m.Version
 	}
 	return rep
 }
 
-// follow reports to the leader until it does not answer.
+// follow sends reports to the leader until it stops answering or does not lead any
+// longer.
 func (r *Router) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		info := r.leader
 		r.mu.Unlock()
-		if time.Since(info.heard) > r.currentPace()+silenceMargin {
-			r.log.Warn("leader is silent", "leader", info.id, "term", info.term)
+		if time.Since(info.heardAt) > r.currentLongPollWait()+leaderSilenceMargin {
+			r.log.Warn("leader stopped answering", "leader", info.id, "term", info.term)
 			return
 		}
 		if err := r.report(ctx, info); err != nil {
-			r.log.Debug("report not answered", "leader", info.id, "error", err)
-			sleep(ctx, storePause)
-			var gone notLeaderError
-			if errors.As(err, &gone) {
+			r.log.Debug("reporting to the leader failed", "leader", info.id, "error", err)
+			sleep(ctx, storeRetryDelay)
+			var notLeader notLeaderError
+			if errors.As(err, &notLeader) {
 				return
 			}
 		}
 	}
 }
 
-// notLeaderError reports that an instance does not lead.
+// notLeaderError reports that an instance that got a report is not the leader.
 type notLeaderError struct{ id fleet.InstanceID }
 
-func (e notLeaderError) Error() string { return "instance " + string(e.id) + " does not lead" }
+func (e notLeaderError) Error() string { return "instance " + string(e.id) + " is not the leader" }
 
+// report sends one report to the leader and applies the reply.
 func (r *Router) report(ctx context.Context, info leaderInfo) error {
-	rep := r.ownReport(time.Now())
-	ctx, cancel := context.WithTimeout(ctx, r.currentPace()+replyMargin)
+	rep := r.collectReport(time.Now())
+	ctx, cancel := context.WithTimeout(ctx, r.currentLongPollWait()+replyTimeoutMargin)
 	defer cancel()
 	res, err := r.peers.Do(ctx, info.addr, &http1.Request{Method: http.MethodPost, Target: reportPath, Body: rep.encode()}, nil)
 	if err != nil {
@@ -153,7 +161,7 @@
 	if res.Status != http.StatusOK {
 		return notLeaderError{info.id}
 	}
-	body, err := unpack(res)
+	body, err := decompressReply(res)
 	if err != nil {
 		return err
 	}
@@ -164,59 +172,59 @@
 	if rp.Term != info.term {
 		return notLeaderError{info.id}
 	}
-	r.takeReply(time.Now(), rep, rp)
-	r.takeMap(rp)
+	r.applyReply(time.Now(), rep, rp)
+	r.applyMap(rp)
 	return nil
 }
 
-// takeMap brings the map up to date with the leader's.
-func (r *Router) takeMap(rp reply) {
-	cur := r.keys.Load()
+// applyMap updates the holder map from a reply.
+func (r *Router) applyMap(rp reply) {
+	cur := r.holderMap.Load()
 	switch {
-	case rp.Whole:
-		r.setKeys(&keyspace.Map{Version: rp.Version, Services: rp.Held})
-	case cur != nil && rp.Version.Seq > 0:
-		r.setKeys(cur.With(rp.Version, rp.Held))
+	case rp.WholeMap:
+		r.setHolderMap(&keyspace.Map{Version: rp.MapVersion, Services: rp.MapSpans})
+	case cur != nil && rp.MapVersion.Seq > 0:
+		r.setHolderMap(cur.With(rp.MapVersion, rp.MapSpans))
 	}
 }
 
-// takeReply takes over what the leader knows.
-func (r *Router) takeReply(now time.Time, rep report, rp reply) {
-	asked := now.Add(-rp.List.Age)
-	r.setInstances(rp.Instances)
+// applyReply applies all of a reply but the holder map.
+func (r *Router) applyReply(now time.Time, rep report, rp reply) {
+	listedAt := now.Add(-rp.List.Age)
+	r.setInstances(rp.Members)
 	r.mu.Lock()
-	r.leader.heard = now
-	r.quota.Learn(now, rp.Demand, r.ownDemand, r.instanceCount())
+	r.leader.heardAt = now
+	r.quota.Learn(now, rp.Demand, r.reportedDemand, r.instanceCount())
 	changed := rp.List.Seq != rep.ListSeq || rp.Term != rep.ListTerm
 	var list []balance.Registration
 	if changed {
-		list = r.followed.apply(rp.Term, rp.List)
+		list = r.listReplica.apply(rp.Term, rp.List)
 	}
-	current := asked.After(r.listed) // else the instance has read a newer list itself
-	if current && !changed && !r.ownList {
-		r.setListed(asked)
+	newer := listedAt.After(r.listedAt) // else this instance has read a newer list from the store
+	if newer && !changed && !r.listFromStore {
+		r.setListedAt(listedAt)
 	}
-	r.operatorTold = rp.OperatorSeq
-	if rp.Operator != "" && rp.Operator == r.operator.Load().Tag() {
-		r.operatorChecked = later(r.operatorChecked, now.Add(-rp.OperatorAge))
+	r.operatorSeqReceived = rp.OperatorSeq
+	if rp.OperatorTag != "" && rp.OperatorTag == r.operator.Load().Tag() {
+		r.operatorConfirmedAt = latest(r.operatorConfirmedAt, now.Add(-rp.OperatorAge))
 	}
-	own := r.ownList
+	fromStore := r.listFromStore
 	r.mu.Unlock()
-	r.takeOperator(now, rp)
-	if current && (changed || own) {
+	r.applyOperator(now, rp)
+	if newer && (changed || fromStore) {
 		if !changed {
-			list = r.followed.apply(rp.Term, rp.List)
+			list = r.listReplica.apply(rp.Term, rp.List)
 		}
-		r.setUpstreams(now, asked, list)
+		r.setUpstreams(now, listedAt, list)
 		r.mu.Lock()
-		r.ownList = false
+		r.listFromStore = false
 		r.mu.Unlock()
 	}
 }
 
-// takeOperator takes over the operators' wishes as the leader knows them, if it told
-// them. The leader may know less than this instance.
-func (r *Router) takeOperator(now time.Time, rp reply) {
+// applyOperator applies the operator state in a reply, if there is one. It may be older
+// than the state of this instance.
+func (r *Router) applyOperator(now time.Time, rp reply) {
 	if rp.OperatorRevision == 0 {
 		return
 	}
@@ -228,10 +236,10 @@
 		next.Table, next.Source = cur.Table, cur.Source
 	}
 	if len(rp.Source) > 0 {
-		table, err := r.out.Configuration(rp.Source)
+		table, err := r.platform.Configuration(rp.Source)
 		if err != nil {
-			r.log.Warn("configuration told by the leader not understood", "error", err)
-			r.readOperatorNow()
+			r.log.Warn("decoding the configuration from the leader failed", "error", err)
+			r.requestOperatorRead()
 			return
 		}
 		next.Table, next.Source = table, rp.Source
@@ -239,15 +247,16 @@
 	r.setOperator(now.Add(-rp.OperatorAge), next)
 }
 
-// servePeer answers the reports of other instances.
+// servePeer serves the requests of other instances: reports, queries for the leader and
+// requests for tokens.
 func (r *Router) servePeer(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(req.Body)
 	switch req.URL.Path {
 	case leaderPath:
-		r.tellLeader(w)
+		r.serveLeader(w)
 		return
 	case tokensPath:
-		r.giveToken(w, req)
+		r.serveToken(w, req)
 		return
 	}
 	if err != nil || req.URL.Path != reportPath {
@@ -256,7 +265,7 @@
 	}
 	rep, err := decodeReport(body)
 	if err != nil {
-		r.log.Warn("report not understood", "error", err)
+		r.log.Warn("decoding a report failed", "error", err)
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -267,13 +276,13 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	changed := r.newsSoon()
+	changed := r.nextUpdate()
 	select {
 	case l.reports <- rep:
 	case <-l.stop:
 	}
-	if !r.hasNews(l, rep) {
-		t := time.NewTimer(r.currentPace())
+	if !r.hasUpdate(l, rep) {
+		t := time.NewTimer(r.currentLongPollWait())
 		select {
 		case <-changed:
 		case <-t.C:
@@ -282,15 +291,14 @@
 		t.Stop()
 	}
 	rp := r.reply(l, rep)
-	if _, err := w.Write(pack(w.Header(), rp.encode())); err != nil {
-		r.log.Debug("reply not delivered", "instance", rep.Instance, "error", err)
+	if _, err := w.Write(compressReply(w.Header(), rp.encode())); err != nil {
+		r.log.Debug("sending the reply to a report failed", "instance", rep.Instance, "error", err)
 	}
 }
 
-// hasNews reports whether the leader knows something that the sender of rep does
-// not.
-func (r *Router) hasNews(l *leadership, rep report) bool {
-	if m := r.keys.Load(); m != nil && rep.Version.Less(m.Version) {
+// hasUpdate reports whether the leader has state that the sender of rep lacks.
+func (r *Router) hasUpdate(l *leadership, rep report) bool {
+	if m := r.holderMap.Load(); m != nil && rep.MapVersion.Less(m.Version) {
 		return true
 	}
 	r.mu.Lock()
@@ -298,53 +306,54 @@
 	if rep.OperatorSeq != r.operatorSeq {
 		return true
 	}
-	return rep.ListTerm != l.term || rep.ListSeq != r.shared.seq
+	return rep.ListTerm != l.term || rep.ListSeq != r.leaderList.seq
 }
 
+// reply returns the reply to rep, with the state that its sender lacks.
 func (r *Router) reply(l *leadership, rep report) reply {
 	now := time.Now()
 	rp := reply{Term: l.term}
 	op := r.operator.Load()
-	rp.Operator = op.Tag()
-	if op != nil && op.Table != nil && rep.Operator != rp.Operator {
+	rp.OperatorTag = op.Tag()
+	if op != nil && op.Table != nil && rep.OperatorTag != rp.OperatorTag {
 		rp.OperatorRevision, rp.Evacuated = op.Revision, slices.Sorted(maps.Keys(op.Evacuated))
-		if !sameConfiguration(rep.Operator, rp.Operator) {
+		if !sameConfiguration(rep.OperatorTag, rp.OperatorTag) {
 			rp.Source = op.Source
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rp.OperatorSeq = r.operatorSeq
-	if m := r.keys.Load(); m != nil && rep.Version.Less(m.Version) {
-		rp.Version = m.Version
-		if old := r.keysSent[rep.Version]; old != nil {
-			rp.Held = m.Diff(old)
+	if m := r.holderMap.Load(); m != nil && rep.MapVersion.Less(m.Version) {
+		rp.MapVersion = m.Version
+		if old := r.recentMaps[rep.MapVersion]; old != nil {
+			rp.MapSpans = m.Diff(old)
 		} else {
-			rp.Held, rp.Whole = m.Services, true
+			rp.MapSpans, rp.WholeMap = m.Services, true
 		}
 	}
-	if rep.Instances != fingerprint(r.instances) {
-		rp.Instances = r.instances
+	if rep.InstancesHash != fingerprint(r.instances) {
+		rp.Members = r.instances
 	}
 	if rep.Demand != nil {
-		rp.Demand = r.totalDemand // told as often as it is reported; nil at first
+		rp.Demand = r.totalDemand // sent as often as the instance reports its own; nil until known
 	}
-	rp.OperatorAge = now.Sub(r.operatorChecked)
+	rp.OperatorAge = now.Sub(r.operatorConfirmedAt)
 	if rep.ListTerm != l.term {
 		rep.ListSeq = 0
 	}
-	rp.List = r.shared.since(now, rep.ListSeq)
-	rp.List.Age = now.Sub(r.listed)
+	rp.List = r.leaderList.changesSince(now, rep.ListSeq)
+	rp.List.Age = now.Sub(r.listedAt)
 	return rp
 }
 
-// takeReport adds a report to what the leader knows.
-func (r *Router) takeReport(now time.Time, l *leadership, rep report) {
+// applyReport adds a report to the leader's state.
+func (r *Router) applyReport(now time.Time, l *leadership, rep report) {
 	demand := rep.Demand
 	if demand == nil {
 		demand = l.members[rep.Instance].demand
 	}
-	l.members[rep.Instance] = member{addr: rep.Addr, heard: now, demand: demand, storeAge: rep.StoreAge}
+	l.members[rep.Instance] = member{addr: rep.Addr, heardAt: now, demand: demand, storeAge: rep.StoreAge}
 	for id, keys := range rep.Keys {
 		h := l.owner.Heat(id)
 		if h == nil {
@@ -356,35 +365,36 @@
 	}
 	r.mu.Lock()
 	if rep.Instance != r.cfg.Instance {
-		for id, s := range rep.Speeds {
+		for id, s := range rep.ServiceTimes {
 			r.upstreams.LearnSamples(now, id, s)
 		}
 	}
-	for id, s := range rep.Speeds {
+	for id, s := range rep.ServiceTimes {
 		r.upstreams.CountAnswers(now, id, s)
 	}
 	r.mu.Unlock()
 }
 
-// demandKnown is the part of the instances that must have reported their demand to a
-// new leader before it tells the sum.
-const demandKnown = 0.9
+// minDemandShare is the share of the instances that must have reported their demand to
+// a new leader before it sends the sum.
+const minDemandShare = 0.9
 
-// sumDemand adds up what the instances have reported. It runs with each plan: with each
-// report its cost would grow with the square of the number of instances. A sum that
-// lacks most of them would make the others take their own parts for larger than they
-// are, and admit too much.
+// sumDemand adds up the reported demand. It runs with each plan and not with each
+// report, where its cost would grow with the square of the number of instances. For up
+// to fleetSettleTime, the sum is withheld until minDemandShare of the instances have
+// reported: from a sum that lacks most instances, the others would overestimate their
+// own shares of the demand, and admit too many requests.
 func (r *Router) sumDemand(now time.Time, l *leadership) {
-	told := 0
+	reporting := 0
 	for _, m := range l.members {
 		if m.demand != nil {
-			told++
+			reporting++
 		}
 	}
 	r.mu.Lock()
-	known := float64(told) >= demandKnown*float64(len(r.instances))
+	known := float64(reporting) >= minDemandShare*float64(len(r.instances))
 	r.mu.Unlock()
-	if !known && now.Sub(l.began) < fleetSettles {
+	if !known && now.Sub(l.startedAt) < fleetSettleTime {
 		return
 	}
 	total := make(map[fleet.AccountID]float64)
@@ -396,5 +406,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.totalDemand = total
-	r.quota.Learn(now, total, r.ownDemand, r.instanceCount())
+	r.quota.Learn(now, total, r.reportedDemand, r.instanceCount())
 }
--- a/internal/direct/report_test.go
+++ b/internal/direct/report_test.go
@@ -15,29 +15,29 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Guards against messages that are read back as others.
+// Guards against messages that change in encoding and decoding.
 func TestReportRoundTrip(t *testing.T) {
 	rep := report{
-		Instance: "i1", Addr: "1.2.3.4:6", Version: keyspace.MapVersion{Term: 3, Seq: 9},
-		Keys:     map[fleet.ServiceID][]keyspace.Key{"s": {1, 65535}},
-		Demand:   map[fleet.AccountID]float64{"a": 12.5},
-		Speeds:   map[fleet.UpstreamID]balance.Samples{"u": {N: 2, Sum: 0.25, Queued: 3, Lost: 1}},
-		StoreAge: 1200 * time.Millisecond, Instances: 10, ListTerm: 3, ListSeq: 7, OperatorSeq: 2, Operator: "5 [z]",
+		Instance: "i1", Addr: "1.2.3.4:6", MapVersion: keyspace.MapVersion{Term: 3, Seq: 9},
+		Keys:         map[fleet.ServiceID][]keyspace.Key{"s": {1, 65535}},
+		Demand:       map[fleet.AccountID]float64{"a": 12.5},
+		ServiceTimes: map[fleet.UpstreamID]balance.Samples{"u": {N: 2, Sum: 0.25, Queued: 3, Lost: 1}},
+		StoreAge:     1200 * time.Millisecond, InstancesHash: 10, ListTerm: 3, ListSeq: 7, OperatorSeq: 2, OperatorTag: "5 [z]",
 	}
 	got, err := decodeReport(rep.encode())
 	if diff := cmp.Diff(rep, got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	if _, err := decodeReport([]byte(`{"instance":""}`)); err == nil {
-		t.Error("a report of nobody was accepted")
+		t.Error("a report without an instance ID was accepted")
 	}
 	rp := reply{
-		Term: 3, Version: keyspace.MapVersion{Term: 3, Seq: 10}, Whole: true,
-		Held: map[fleet.ServiceID][]keyspace.Held{"s": {
+		Term: 3, MapVersion: keyspace.MapVersion{Term: 3, Seq: 10}, WholeMap: true,
+		MapSpans: map[fleet.ServiceID][]keyspace.Held{"s": {
 			{Span: keyspace.Span{From: 0, To: 9}, Holder: "u"}, {Span: keyspace.Span{From: 10, To: 65535}},
 		}},
-		Instances: []fleet.Peer{{ID: "i1", Addr: "1.2.3.4:6"}}, Demand: map[fleet.AccountID]float64{"a": 3},
-		Operator: "5 [z]", OperatorSeq: 4, OperatorAge: 20 * time.Millisecond,
+		Members: []fleet.Peer{{ID: "i1", Addr: "1.2.3.4:6"}}, Demand: map[fleet.AccountID]float64{"a": 3},
+		OperatorTag: "5 [z]", OperatorSeq: 4, OperatorAge: 20 * time.Millisecond,
 		Source: []byte("{\"version\":\"5\"}\n"), Evacuated: []fleet.ZoneID{"z"}, OperatorRevision: 70,
 		List: listDelta{Seq: 8, Age: 30 * time.Millisecond, Removed: []fleet.UpstreamID{"v"}, Changed: []balance.Registration{
 			{ID: "u", Service: "s", Zone: "z", Addr: "1.2.3.4:5", Boot: "1", Slots: 6, Draining: true, ColdLeft: time.Second},
@@ -49,26 +49,26 @@
 	}
 }
 
-// Guards against a copy of the leader's list that differs from it, also after a
-// change of the leader.
+// Guards against a replica of the list of upstreams that differs from the leader's
+// list, also after a change of leader.
 func TestListDelta(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	up := func(id fleet.UpstreamID, draining bool) balance.Registration {
+	registration := func(id fleet.UpstreamID, draining bool) balance.Registration {
 		return balance.Registration{ID: id, Service: "s", Zone: "z", Addr: "1.2.3.4:5", Slots: 6, Boot: "1", Draining: draining}
 	}
 	lists := [][]balance.Registration{
-		{up("a", false), up("b", false)}, {up("a", true), up("b", false)}, {up("b", false), up("c", false)}, {up("b", false)},
+		{registration("a", false), registration("b", false)}, {registration("a", true), registration("b", false)}, {registration("b", false), registration("c", false)}, {registration("b", false)},
 	}
-	shared, followed := newSharedList(), followedList{}
+	source, replica := newLeaderList(), listReplica{}
 	for i, list := range lists {
-		if !shared.update(now, list) {
-			t.Errorf("list %d: no change was seen", i)
+		if !source.update(now, list) {
+			t.Errorf("list %d: change not detected", i)
 		}
-		if shared.update(now, list) {
-			t.Errorf("list %d: a change was seen twice", i)
+		if source.update(now, list) {
+			t.Errorf("list %d: change detected twice", i)
 		}
 		got := make(map[fleet.UpstreamID]balance.Registration)
-		for _, r := range followed.apply(1, shared.since(now, followed.seq)) {
+		for _, r := range replica.apply(1, source.changesSince(now, replica.seq)) {
 			got[r.ID] = r
 		}
 		want := make(map[fleet.UpstreamID]balance.Registration)
@@ -79,67 +79,67 @@
 			t.Errorf("list %d: %s", i, diff)
 		}
 	}
-	next := newSharedList()
+	next := newLeaderList()
 	next.update(now, lists[0])
-	if got := followed.apply(2, next.since(now, 0)); len(got) != 2 {
-		t.Errorf("after a change of the leader: %v", got)
+	if got := replica.apply(2, next.changesSince(now, 0)); len(got) != 2 {
+		t.Errorf("after a change of leader: %v, want 2 upstreams", got)
 	}
 }
 
-// Guards against a leader that goes on without the store although others reach it,
-// and against one that gives up its grants while nobody does.
-func TestStoreAway(t *testing.T) {
+// Guards against a leader that continues without the store although other instances
+// reach it, and against one that gives up its grants while no instance reaches it.
+func TestStoreDownForAll(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	r := &Router{cfg: Settings{Instance: "leader"}, storeSeen: now.Add(-2 * time.Second)}
+	r := &Router{cfg: Settings{Instance: "leader"}, storeAnsweredAt: now.Add(-2 * time.Second)}
 	tests := map[string]struct {
-		ages  []time.Duration // since the others have reached the store
-		heard time.Duration   // since their reports
+		ages  []time.Duration // since the other instances last reached the store
+		heard time.Duration   // since their last reports
 		want  bool
 	}{
-		"nobody reaches it":       {[]time.Duration{3 * time.Second, 2500 * time.Millisecond}, 0, true},
-		"one reaches it":          {[]time.Duration{3 * time.Second, 100 * time.Millisecond}, 0, false},
-		"the others are silent":   {[]time.Duration{3 * time.Second, 3 * time.Second}, 2 * time.Second, false},
-		"the others do not ask":   {[]time.Duration{time.Hour, time.Hour}, 0, true},
-		"one reached it at last ": {[]time.Duration{2 * time.Second, 2 * time.Second}, 0, true},
+		"no instance reaches the store":          {[]time.Duration{3 * time.Second, 2500 * time.Millisecond}, 0, true},
+		"one instance reaches the store":         {[]time.Duration{3 * time.Second, 100 * time.Millisecond}, 0, false},
+		"other instances do not report":          {[]time.Duration{3 * time.Second, 3 * time.Second}, 2 * time.Second, false},
+		"other instances make no store calls":    {[]time.Duration{time.Hour, time.Hour}, 0, true},
+		"all reached the store at the same time": {[]time.Duration{2 * time.Second, 2 * time.Second}, 0, true},
 	}
 	for name, test := range tests {
-		l := &leadership{members: map[fleet.InstanceID]member{"leader": {heard: now}}}
+		l := &leadership{members: map[fleet.InstanceID]member{"leader": {heardAt: now}}}
 		for i, age := range test.ages {
-			l.members[fleet.InstanceID(rune('a'+i))] = member{heard: now.Add(-test.heard), storeAge: age}
+			l.members[fleet.InstanceID(rune('a'+i))] = member{heardAt: now.Add(-test.heard), storeAge: age}
 		}
-		if diff := cmp.Diff(test.want, r.storeAway(now, l)); diff != "" {
+		if diff := cmp.Diff(test.want, r.storeDownForAll(now, l)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 }
 
-// Guards against instances that start again together and each take a larger part of
-// the limits than theirs, since few have found the new leader.
-func TestFleetSizeOutlastsRestart(t *testing.T) {
+// Guards against instances that restart together and each use more than their share of
+// the limits, because few instances have found the new leader yet.
+func TestFleetSizeIsKeptAfterRestart(t *testing.T) {
 	for name, c := range map[string]struct {
-		known, recorded int
-		led             time.Duration
-		want            int
+		reporting, recorded int
+		leadingFor          time.Duration
+		want                int
 	}{
-		"others have not reported yet": {3, 70, time.Second, 70},
-		"instances joined":             {72, 70, time.Second, 72},
-		"instances left":               {40, 70, 6 * time.Second, 40},
-		"first start":                  {3, 0, time.Second, 3},
+		"other instances have not reported yet": {3, 70, time.Second, 70},
+		"instances joined":                      {72, 70, time.Second, 72},
+		"instances left":                        {40, 70, 6 * time.Second, 40},
+		"first start":                           {3, 0, time.Second, 3},
 	} {
-		got := fleetOf(peersNamed(c.known), peersNamed(c.recorded), c.led)
+		got := mergeInstances(peersNamed(c.reporting), peersNamed(c.recorded), c.leadingFor)
 		if diff := cmp.Diff(peersNamed(c.want), got); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 	r := New(Settings{Instance: "i1"}, Platform{}, NewMetrics(), hclog.NewNullLogger())
-	r.setInstances(peersNamed(70)) // as recorded
-	r.setInstances(nil)            // the leader knows no others
+	r.setInstances(peersNamed(70)) // from the ownership record
+	r.setInstances(nil)            // the leader knows no other instances
 	if diff := cmp.Diff(70, r.instanceCount()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// peersNamed returns n instances in the order of their ids.
+// peersNamed returns n instances, ordered by ID.
 func peersNamed(n int) []fleet.Peer {
 	var peers []fleet.Peer
 	for i := range n {
@@ -148,18 +148,18 @@
 	return peers
 }
 
-// Guards against a configuration that every instance reads from the store although
-// the leader has it, and against one that an older leader's knowledge reverts.
-func TestOperatorIsTold(t *testing.T) {
+// Guards against each instance reading the configuration from the store although the
+// leader has it, and against an older state of the leader replacing a newer one.
+func TestOperatorStateIsTakenFromLeader(t *testing.T) {
 	r := New(Settings{Instance: "i1"}, Platform{}, NewMetrics(), hclog.NewNullLogger())
-	r.out.Configuration = func(source []byte) (*routes.Table, error) {
+	r.platform.Configuration = func(source []byte) (*routes.Table, error) {
 		v, err := strconv.Atoi(string(source))
 		return routes.NewTable(routes.Version(v), nil, nil, nil, nil), err
 	}
 	now := time.Now()
 	for _, step := range []struct {
-		told reply
-		want string
+		reply reply
+		want  string
 	}{
 		{reply{OperatorRevision: 50, Source: []byte("5")}, "5 []"},
 		{reply{OperatorRevision: 60, Evacuated: []fleet.ZoneID{"z"}}, "5 [z]"},
@@ -168,68 +168,68 @@
 		{reply{OperatorRevision: 80, Source: []byte("6")}, "7 []"},
 		{reply{OperatorRevision: 90, Source: []byte("unreadable")}, "7 []"},
 	} {
-		r.takeOperator(now, step.told)
+		r.applyOperator(now, step.reply)
 		if diff := cmp.Diff(step.want, r.operator.Load().Tag()); diff != "" {
-			t.Errorf("revision %d: %s", step.told.OperatorRevision, diff)
+			t.Errorf("revision %d: %s", step.reply.OperatorRevision, diff)
 		}
 	}
 	select {
-	case <-r.operatorNow:
+	case <-r.operatorReadRequests:
 	default:
-		t.Error("what could not be read is not asked of the store")
+		t.Error("undecodable configuration is not read from the store")
 	}
 }
 
-// Guards against demand that is told with every report, though news cut reports short
-// several times a second.
-func TestDemandIsToldOncePerPace(t *testing.T) {
+// Guards against demand that is sent with every report although updates cut reports
+// short several times per second.
+func TestDemandIsSentOncePerLongPollWait(t *testing.T) {
 	r, _ := newRouter(t, "a")
 	now := time.Now()
-	if rep := r.ownReport(now); rep.Demand == nil {
+	if rep := r.collectReport(now); rep.Demand == nil {
 		t.Error("the first report has no demand")
 	}
-	if rep := r.ownReport(now.Add(reportWait / 2)); rep.Demand != nil {
-		t.Errorf("half a pace later: demand %v", rep.Demand)
+	if rep := r.collectReport(now.Add(minLongPollWait / 2)); rep.Demand != nil {
+		t.Errorf("after half the long-poll wait: demand %v", rep.Demand)
 	}
-	if rep := r.ownReport(now.Add(2 * reportWait)); rep.Demand == nil {
-		t.Error("two paces later: no demand")
+	if rep := r.collectReport(now.Add(2 * minLongPollWait)); rep.Demand == nil {
+		t.Error("after two long-poll waits: no demand")
 	}
 	l := &leadership{members: map[fleet.InstanceID]member{"b": {demand: map[fleet.AccountID]float64{"x": 7}}}, owner: keyspace.NewOwner(now, 1, keyspace.Timing{}, keyspace.Record{})}
-	r.takeReport(now, l, report{Instance: "b"})
+	r.applyReport(now, l, report{Instance: "b"})
 	r.sumDemand(now, l)
 	if diff := cmp.Diff(map[fleet.AccountID]float64{"x": 7}, r.totalDemand); diff != "" {
 		t.Error("after a report without demand: ", diff)
 	}
 }
 
-// Guards against a new leader that tells the demand of the few instances that have
-// reported to it as that of all: each of them takes nearly the whole limit for itself.
-func TestDemandOfAFewIsNotTold(t *testing.T) {
+// Guards against a new leader that sends the demand of the few instances that have
+// reported to it as the total: each of them would then claim nearly the whole limit.
+func TestPartialDemandIsNotSent(t *testing.T) {
 	now := time.Now()
 	r, _ := newRouter(t, "a")
-	var all []fleet.Peer
+	var peers []fleet.Peer
 	for i := range 10 {
-		all = append(all, fleet.Peer{ID: fleet.InstanceID(fmt.Sprint("i", i))})
+		peers = append(peers, fleet.Peer{ID: fleet.InstanceID(fmt.Sprint("i", i))})
 	}
-	r.setInstances(all)
-	l := &leadership{term: 2, began: now, members: make(map[fleet.InstanceID]member), owner: keyspace.NewOwner(now, 1, keyspace.Timing{}, keyspace.Record{})}
-	for i, p := range all {
+	r.setInstances(peers)
+	l := &leadership{term: 2, startedAt: now, members: make(map[fleet.InstanceID]member), owner: keyspace.NewOwner(now, 1, keyspace.Timing{}, keyspace.Record{})}
+	for i, p := range peers {
 		rep := report{Instance: p.ID, Demand: map[fleet.AccountID]float64{"x": 5}}
-		r.takeReport(now, l, rep)
+		r.applyReport(now, l, rep)
 		r.sumDemand(now, l)
-		told, want := r.reply(l, rep).Demand["x"], 0.0
+		sent, want := r.reply(l, rep).Demand["x"], 0.0
 		if i >= 8 {
 			want = 5 * float64(i+1)
 		}
-		if told != want {
-			t.Errorf("%d of 10 have reported: %v are told, want %v", i+1, told, want)
+		if sent != want {
+			t.Errorf("%d of 10 instances have reported: demand of %v requests/s sent, want %v", i+1, sent, want)
 		}
 	}
-	if rep := r.ownReport(now); rep.Demand == nil {
+	if rep := r.collectReport(now); rep.Demand == nil {
 		t.Error("the first report has no demand")
 	}
 	r.setLeader(leaderInfo{id: "c", term: 3})
-	if rep := r.ownReport(now); rep.Demand == nil {
+	if rep := r.collectReport(now); rep.Demand == nil {
 		t.Error("the first report to another leader has no demand")
 	}
 }
--- a/internal/direct/router.go
+++ b/internal/direct/router.go
@@ -23,104 +23,109 @@
 
 const (
 	// serverReadTimeout is how long a caller's connection may be idle. Callers reuse
-	// connections for up to four fifths of the operators' idle timeout, 15 s.
+	// connections for up to four fifths of the idle timeout of 15 s that operators set.
 	serverReadTimeout = 30 * time.Second
-	// maxKeysSent bounds the recent maps that changes are told against.
-	maxKeysSent = 32
-	// unknownInstances is the number of instances that shared bounds are divided by
-	// if neither the store nor the leader has told one. A fleet that starts for the
-	// first time gets no traffic so early.
-	unknownInstances = 16
-	// gcPercent trades processor time, of which an instance uses a tenth of its share,
-	// for memory, which is priced at its peak.
+	// maxRecentMaps bounds the recent holder maps that are kept to compute changes for
+	// replies.
+	maxRecentMaps = 32
+	// assumedInstances is the number of instances among which limits are divided as
+	// long as neither the store nor the leader has provided one. A fleet that starts
+	// for the first time receives no requests that early.
+	assumedInstances = 16
+	// gcPercent is the garbage collection target (GOGC). It trades CPU time, of which
+	// an instance uses a tenth of its share, for memory, which is charged for by its
+	// peak.
 	gcPercent = 60
-	// memoryShare is the part of the memory limit at which the collector works harder.
-	memoryShare = 0.6
+	// memoryLimitShare is the share of Settings.MaxMemory that is set as the runtime's
+	// soft memory limit, near which the garbage collector runs more often.
+	memoryLimitShare = 0.6
 )
 
-// Router is one instance.
+// Router is one instance of the fleet.
 type Router struct {
-	cfg     Settings
-	out     Platform
-	log     hclog.Logger
-	metrics *Metrics
-	boot    fleet.BootID
-	peers   *http1.Transport
+	cfg      Settings
+	platform Platform
+	log      hclog.Logger
+	metrics  *Metrics
+	boot     fleet.BootID
+	peers    *http1.Transport // connections to other instances
 
-	ready    atomic.Bool
-	leaving  atomic.Bool
-	operator atomic.Pointer[Operator]
-	keys     atomic.Pointer[keyspace.Map]
+	ready        atomic.Bool
+	shuttingDown atomic.Bool
+	operator     atomic.Pointer[Operator]
+	holderMap    atomic.Pointer[keyspace.Map]
 
-	operatorNow chan struct{} // asks for the operators' wishes
-	configured  chan struct{} // closed once there is a configuration
+	operatorReadRequests chan struct{} // requests syncOperator to read the complete operator state
+	configured           chan struct{} // closed once there is a configuration
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
-	settingsRead Settings // as they were read last
+	lastSettings Settings // settings as last read
 
-	// What requests are decided with.
-	upstreams *balance.Table
-	quota     *quota.Table
-	lone      *quota.Table // of accounts whose homes do not answer
-	home      *quota.Home
-	homes     map[fleet.AccountID][]fleet.Peer // of accounts, as they follow from instances
-	homesDown map[fleet.InstanceID]time.Time   // homes that did not answer
-	budgets   map[fleet.ServiceID]*balance.Budget
-	instances []fleet.Peer
-	leaves    map[fleet.UpstreamID]time.Time // when upstreams were seen to leave
-	evacuates map[fleet.ZoneID]time.Time     // when zones were seen to be evacuated
-	keysNew   chan struct{}                  // closed when keys changes
+	// State for decisions on requests.
+	upstreams        *balance.Table
+	quota            *quota.Table                     // used for accounts whose limits are divided among instances
+	fallbackQuota    *quota.Table                     // used for accounts whose homes do not answer
+	homeQuota        *quota.Home                      // used for accounts whose home is this instance
+	homesByAccount   map[fleet.AccountID][]fleet.Peer // cache; follows from instances
+	homeFailedAt     map[fleet.InstanceID]time.Time   // last failure of homes to answer
+	retryBudgets     map[fleet.ServiceID]*balance.Budget
+	instances        []fleet.Peer
+	leavingSince     map[fleet.UpstreamID]time.Time // when this instance saw an upstream leave
+	evacuatedSince   map[fleet.ZoneID]time.Time     // when this instance saw a zone being evacuated
+	holderMapUpdated chan struct{}                  // closed when holderMap changes
 
-	// How old that is.
-	listed          time.Time // when the list of upstreams was asked for
-	operatorChecked time.Time // when the operators' wishes were known to be unchanged
-	storeSeen       time.Time // the last answer of the store
-	storeFailing    time.Time // the first failure since then; zero if there is none
-	servedOthers    time.Time // when the leader's first list since the last failure was asked for
-	outageEnded     time.Time // the end of the last outage that this instance saw
+	// Age of this state.
+	listedAt            time.Time // when the current list of upstreams was requested from the store
+	operatorConfirmedAt time.Time // when operator was last known to be current
+	storeAnsweredAt     time.Time // last successful call of the store
+	storeFailingSince   time.Time // first failed call since then; zero if there is none
+	listedDuringFailure time.Time // when the leader's first list since the last failed call was requested
+	outageEndedAt       time.Time // end of the last store outage that this instance saw
 
-	// What is reported to the leader, and what it told.
-	leader    leaderInfo
-	asked     map[fleet.ServiceID][]keyspace.Key // since the last report
-	ownDemand map[fleet.AccountID]float64        // as it was reported last
-	// demandReported is when that was.
-	demandReported time.Time
-	followed       followedList
-	ownList        bool   // the list was read from the store, not told by the leader
-	operatorTold   uint64 // the last change of the operators' wishes that it told
+	// Data for reports to the leader, and from its replies.
+	leader         leaderInfo
+	requestedKeys  map[fleet.ServiceID][]keyspace.Key // by callers since the last report
+	reportedDemand map[fleet.AccountID]float64        // in the last report with demand
+	// demandReportedAt is the time of that report.
+	demandReportedAt    time.Time
+	listReplica         listReplica
+	listFromStore       bool   // the list of upstreams was read from the store, not received from the leader
+	operatorSeqReceived uint64 // last version of the operator state received from the leader
 
-	// What replies are made of, if this instance leads.
-	leadership  *leadership // nil unless this instance leads
-	news        chan struct{}
-	shared      *sharedList
-	keysSent    map[keyspace.MapVersion]*keyspace.Map // recent maps
-	operatorSeq uint64                                // counts changes of the operators' wishes
-	totalDemand map[fleet.AccountID]float64           // of all instances
+	// Data for replies, if this instance leads.
+	leadership  *leadership   // nil unless this instance leads
+	update      chan struct{} // closed when there is an update for held reports
+	leaderList  *leaderList
+	recentMaps  map[keyspace.MapVersion]*keyspace.Map // base maps for the changes in replies
+	operatorSeq uint64                                // version of the operator state; counts its changes
+	totalDemand map[fleet.AccountID]float64           // requests/s of all instances
 }
 
-// New returns an instance that does not run yet.
-func New(cfg Settings, out Platform, m *Metrics, log hclog.Logger) *Router {
+// New returns an instance, to be started by Run.
+func New(cfg Settings, platform Platform, m *Metrics, log hclog.Logger) *Router {
 	now := time.Now()
 	r := &Router{
-		cfg: cfg, settingsRead: cfg, out: out, log: log, metrics: m,
-		boot:        fleet.BootID(strconv.FormatInt(now.UnixMilli(), 36)),
-		peers:       http1.NewTransport(http1.TransportConfig{DialTimeout: peerDialTimeout, IdleTimeout: peerIdle, MaxBody: maxPeerBody, MaxIdle: 2, AllSilent: true}),
-		operatorNow: make(chan struct{}, 1), configured: make(chan struct{}),
-		shared: newSharedList(), news: make(chan struct{}), keysSent: make(map[keyspace.MapVersion]*keyspace.Map),
-		quota: quota.New(now, quota.Config(cfg.Quota)), lone: quota.New(now, quota.Config(cfg.Quota)),
-		home: quota.NewHome(quota.Config(cfg.Quota)), homes: make(map[fleet.AccountID][]fleet.Peer), homesDown: make(map[fleet.InstanceID]time.Time),
-		budgets: make(map[fleet.ServiceID]*balance.Budget), keysNew: make(chan struct{}),
-		asked: make(map[fleet.ServiceID][]keyspace.Key), leaves: make(map[fleet.UpstreamID]time.Time),
-		evacuates: make(map[fleet.ZoneID]time.Time),
-		rng:       rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
+		cfg: cfg, lastSettings: cfg, platform: platform, log: log, metrics: m,
+		boot:                 fleet.BootID(strconv.FormatInt(now.UnixMilli(), 36)),
+		peers:                http1.NewTransport(http1.TransportConfig{DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, MaxBody: maxPeerBody, MaxIdle: 2, AllSilent: true}),
+		operatorReadRequests: make(chan struct{}, 1), configured: make(chan struct{}),
+		leaderList: newLeaderList(), update: make(chan struct{}), recentMaps: make(map[keyspace.MapVersion]*keyspace.Map),
+		quota: quota.New(now, quota.Config(cfg.Quota)), fallbackQuota: quota.New(now, quota.Config(cfg.Quota)),
+		homeQuota: quota.NewHome(quota.Config(cfg.Quota)), homesByAccount: make(map[fleet.AccountID][]fleet.Peer), homeFailedAt: make(map[fleet.InstanceID]time.Time),
+		retryBudgets: make(map[fleet.ServiceID]*balance.Budget), holderMapUpdated: make(chan struct{}),
+		requestedKeys: make(map[fleet.ServiceID][]keyspace.Key), leavingSince: make(map[fleet.UpstreamID]time.Time),
+		evacuatedSince: make(map[fleet.ZoneID]time.Time),
+		rng:            rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
 	}
-	r.upstreams = balance.New(cfg.Instance, r.rng, r.coldBound)
-	m.observe = r.observeKnowledge
+	r.upstreams = balance.New(cfg.Instance, r.rng, r.warmUpLimits)
+	m.refreshGauges = r.updateGauges
 	return r
 }
 
-func (r *Router) coldBound(id fleet.ServiceID) (time.Duration, fleet.PerSecond) {
+// warmUpLimits returns how long upstreams of a service are cold after their start, and
+// the rate at which all instances together may send requests to a cold one.
+func (r *Router) warmUpLimits(id fleet.ServiceID) (time.Duration, fleet.PerSecond) {
 	op := r.operator.Load()
 	if op == nil || op.Table == nil {
 		return 0, 0
@@ -129,11 +134,11 @@
 	return s.ColdFor, s.ColdRate
 }
 
-// Run serves until ctx ends and the instance has shut down.
+// Run serves requests until ctx ends and the shutdown is complete.
 func (r *Router) Run(ctx context.Context) error {
 	debug.SetGCPercent(gcPercent)
 	if r.cfg.MaxMemory > 0 {
-		debug.SetMemoryLimit(int64(float64(r.cfg.MaxMemory) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(r.cfg.MaxMemory) * memoryLimitShare))
 	}
 	r.log.Info("instance started", "instance", r.cfg.Instance, "boot", r.boot, "zone", r.cfg.Zone, "store", r.cfg.Store)
 	callers, err := http1.Listen(http1.ServerConfig{Addr: r.cfg.CallerListen, Handler: http.HandlerFunc(r.serve), ReadTimeout: serverReadTimeout, MaxBody: maxCallerBody})
@@ -155,7 +160,7 @@
 		defer s.Close()
 	}
 	var g run.Group
-	for _, loop := range []func(context.Context){r.followOperator, r.followUpstreams, r.coordinate, r.housekeep, r.watchSettings} {
+	for _, loop := range []func(context.Context){r.syncOperator, r.syncUpstreams, r.leadOrFollow, r.closeIdleConnections, r.watchSettings} {
 		loopCtx, cancel := context.WithCancel(context.Background())
 		g.Add(func() error { loop(loopCtx); return nil }, func(error) { cancel() })
 	}
@@ -168,57 +173,58 @@
 }
 
 const (
-	// balancerNotices is the time until the platform's balancer sends no new
-	// connections after the instance says that it is not ready: two questions, one a
-	// second, and one on its way.
-	balancerNotices = 2600 * time.Millisecond
-	// exitMargin is the time between the end of a shutdown and SIGKILL. An instance with
-	// 0.16 of a core took more than 400 ms to end. The platform does not count requests
-	// that are cut in the last sixth of the grace time, 1 s.
+	// balancerDelay is the time until the platform's balancer sends no new connections
+	// after the instance stops being ready: two checks at an interval of one second,
+	// and a check in flight.
+	balancerDelay = 2600 * time.Millisecond
+	// exitMargin is the time between the end of the shutdown and SIGKILL. An instance
+	// with 0.16 of a CPU core took more than 400 ms to exit. The platform does not
+	// count requests that are cut off in the last sixth (1 s) of the grace time.
 	exitMargin = 800 * time.Millisecond
-	// maxCallerBody bounds a request; the operators' limit is 64 MiB.
+	// maxCallerBody is the maximum size of a request body in bytes. The operators'
+	// limit is 64 MiB.
 	maxCallerBody = 64 << 20
 )
 
-// shutdown says that the instance is not ready, goes on serving until callers have
-// gone elsewhere, and ends after the last answer.
+// shutdown fails the readiness check, continues to serve until the balancer has stopped
+// sending new connections, and returns after the last answer or shortly before SIGKILL.
 func (r *Router) shutdown(callers *http1.Server) error {
-	began := time.Now()
-	r.leaving.Store(true)
+	start := time.Now()
+	r.shuttingDown.Store(true)
 	r.ready.Store(false)
 	r.mu.Lock()
 	grace := r.cfg.Grace
 	r.mu.Unlock()
-	r.log.Info("instance stops", "grace", grace)
+	r.log.Info("instance shutting down", "grace", grace)
 	callers.Drain()
-	r.abdicate()
-	time.Sleep(min(balancerNotices, grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-exitMargin))
+	r.resign()
+	time.Sleep(min(balancerDelay, grace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(grace-exitMargin))
 	defer cancel()
 	err := callers.Shutdown(ctx)
-	r.log.Info("instance stopped", "after", time.Since(began), "cut", err != nil)
+	r.log.Info("instance stopped", "after", time.Since(start), "cut", err != nil)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
 	return err
 }
 
-// health answers the platform's balancer. An instance is ready once it can decide
-// on requests.
+// health serves the readiness check of the platform's balancer. An instance is ready
+// once it can decide on requests.
 func (r *Router) health(w http.ResponseWriter, req *http.Request) {
-	if req.URL.Path != r.out.Protocol.HealthPath() {
+	if req.URL.Path != r.platform.Protocol.HealthPath() {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if !r.ready.Load() || r.leaving.Load() {
+	if !r.ready.Load() || r.shuttingDown.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// housekeep closes connections that were idle for too long.
-func (r *Router) housekeep(ctx context.Context) {
+// closeIdleConnections closes connections whose idle time has expired.
+func (r *Router) closeIdleConnections(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -226,77 +232,81 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			r.out.Upstream.CloseExpired(now)
+			r.platform.Upstream.CloseExpired(now)
 			r.peers.CloseExpired(now)
 		}
 	}
 }
 
-// setKeys takes over a newer map of key holders and wakes those that wait for it.
-func (r *Router) setKeys(m *keyspace.Map) {
+// setHolderMap applies a newer holder map, and wakes the requests and reports that wait
+// for it.
+func (r *Router) setHolderMap(m *keyspace.Map) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	cur := r.keys.Load()
+	cur := r.holderMap.Load()
 	if cur != nil && !cur.Version.Less(m.Version) {
 		return
 	}
-	if cur != nil && cur.Version.Term > 0 { // else it is a recorded one, which others know differently
-		if len(r.keysSent) >= maxKeysSent {
-			clear(r.keysSent)
+	if cur != nil && cur.Version.Term > 0 { // a recorded map has term 0 and may differ between instances
+		if len(r.recentMaps) >= maxRecentMaps {
+			clear(r.recentMaps)
 		}
-		r.keysSent[cur.Version] = cur
+		r.recentMaps[cur.Version] = cur
 	}
-	r.keys.Store(m)
-	close(r.keysNew)
-	r.keysNew = make(chan struct{})
-	r.announce()
+	r.holderMap.Store(m)
+	close(r.holderMapUpdated)
+	r.holderMapUpdated = make(chan struct{})
+	r.wakeReports()
 }
 
-// announce wakes the reports that wait for news. The caller holds mu.
-func (r *Router) announce() {
-	close(r.news)
-	r.news = make(chan struct{})
+// wakeReports ends the wait of all reports that are being held. The caller must hold
+// mu.
+func (r *Router) wakeReports() {
+	close(r.update)
+	r.update = make(chan struct{})
 }
 
-// newsSoon returns a channel that is closed when there is something to tell.
-func (r *Router) newsSoon() <-chan struct{} {
+// nextUpdate returns a channel that is closed when there is an update for other
+// instances.
+func (r *Router) nextUpdate() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.news
+	return r.update
 }
 
-// readOperatorNow makes the instance read the operators' wishes.
-func (r *Router) readOperatorNow() {
+// requestOperatorRead makes syncOperator read the complete operator state from the
+// store.
+func (r *Router) requestOperatorRead() {
 	select {
-	case r.operatorNow <- struct{}{}:
+	case r.operatorReadRequests <- struct{}{}:
 	default:
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// keysChanged returns a channel that is closed when the map changes.
-func (r *Router) keysChanged() <-chan struct{} {
+// holderMapChanged returns a channel that is closed when the holder map changes.
+func (r *Router) holderMapChanged() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.keysNew
+	return r.holderMapUpdated
 }
 
-// instanceCount returns the number of instances that share bounds. The caller holds
+// instanceCount returns the number of instances that share limits. The caller must hold
 // mu.
 func (r *Router) instanceCount() int {
 	if len(r.instances) == 0 {
-		return unknownInstances
+		return assumedInstances
 	}
 	return len(r.instances)
 }
 
-// setInstances takes over the instances that share bounds, unless there are none.
+// setInstances replaces the instances that share limits, unless known is empty.
 func (r *Router) setInstances(known []fleet.Peer) {
 	if len(known) == 0 {
 		return
@@ -304,62 +314,64 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if before := len(r.instances); before != len(known) {
-		r.log.Info("size of the fleet", "instances", len(known), "before", before)
+		r.log.Info("fleet size changed", "instances", len(known), "before", before)
 	}
 	r.instances = known
-	clear(r.homes)
-	r.upstreams.SetInstances(ids(known))
+	clear(r.homesByAccount)
+	r.upstreams.SetInstances(instanceIDs(known))
 }
 
-// storeAnswered notes the outcome of a call to the store, and logs when the store
-// is lost and when it is back.
-func (r *Router) storeAnswered(now time.Time, err error) {
+// noteStoreResult records the outcome of a call to the store, and logs the first
+// failure and the next success.
+func (r *Router) noteStoreResult(now time.Time, err error) {
 	r.mu.Lock()
-	was := r.storeFailing
+	failingSince := r.storeFailingSince
 	switch {
 	case err == nil:
-		if !was.IsZero() && now.Sub(was) > lapseAfter {
-			r.outageEnded = now
-			if !r.servedOthers.IsZero() {
-				r.outageEnded = r.servedOthers // this instance has not asked since
+		if !failingSince.IsZero() && now.Sub(failingSince) > minLapseOutage {
+			r.outageEndedAt = now
+			if !r.listedDuringFailure.IsZero() {
+				r.outageEndedAt = r.listedDuringFailure // this instance has made no calls since then
 			}
 		}
-		r.storeSeen, r.storeFailing = now, time.Time{}
-	case was.IsZero():
-		r.storeFailing = now
+		r.storeAnsweredAt, r.storeFailingSince = now, time.Time{}
+	case failingSince.IsZero():
+		r.storeFailingSince = now
 	}
-	r.servedOthers = time.Time{}
+	r.listedDuringFailure = time.Time{}
 	r.mu.Unlock()
 	switch {
-	case err == nil && !was.IsZero():
-		r.log.Info("store is back", "after", now.Sub(was).String())
-	case err != nil && was.IsZero():
-		r.log.Warn("store does not answer", "error", err)
+	case err == nil && !failingSince.IsZero():
+		r.log.Info("store calls succeed again", "after", now.Sub(failingSince).String())
+	case err != nil && failingSince.IsZero():
+		r.log.Warn("store call failed", "error", err)
 	}
 }
 
-// setListed notes when the list that this instance has was asked for. The caller holds
-// mu.
-func (r *Router) setListed(asked time.Time) {
-	r.listed = asked
-	if !r.storeFailing.IsZero() && r.servedOthers.IsZero() {
-		r.servedOthers = asked
+// setListedAt records when the current list of upstreams was requested from the store.
+// The caller must hold mu.
+func (r *Router) setListedAt(requestedAt time.Time) {
+	r.listedAt = requestedAt
+	if !r.storeFailingSince.IsZero() && r.listedDuringFailure.IsZero() {
+		r.listedDuringFailure = requestedAt
 	}
 }
 
-// storeAge returns the time since the store last answered. The caller holds mu.
+// storeAge returns the time since the last successful call to the store, an hour if
+// there was none. The caller must hold mu.
 func (r *Router) storeAge(now time.Time) time.Duration {
-	if r.storeSeen.IsZero() {
+	if r.storeAnsweredAt.IsZero() {
 		return time.Hour
 	}
-	return now.Sub(r.storeSeen)
+	return now.Sub(r.storeAnsweredAt)
 }
 
-func (r *Router) budget(id fleet.ServiceID) *balance.Budget {
-	b := r.budgets[id]
+// retryBudget returns the retry budget of a service. The caller must hold mu.
+func (r *Router) retryBudget(id fleet.ServiceID) *balance.Budget {
+	b := r.retryBudgets[id]
 	if b == nil {
 		b = balance.NewBudget(r.cfg.Retry.Ratio, r.cfg.Retry.Extra, r.cfg.Retry.Window)
-		r.budgets[id] = b
+		r.retryBudgets[id] = b
 	}
 	return b
 }
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -12,34 +12,34 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Times after which a refused caller is asked to come back.
+// Retry delays that are returned to refused callers.
 const (
-	retryNotReady = 300 * time.Millisecond // until a configuration or a holder is known
-	retryLost     = 600 * time.Millisecond // until a key that was lost has a holder
-	retryFull     = 120 * time.Millisecond // until slots are free
-	minRetryQuota = 200 * time.Millisecond
-	maxRetryQuota = 2 * time.Second
+	retryAfterNotReady   = 300 * time.Millisecond // until a configuration or a holder is known
+	retryAfterHolderLost = 600 * time.Millisecond // until a key whose holder was lost has a new one
+	retryAfterFull       = 120 * time.Millisecond // until slots are free
+	minRetryAfterLimit   = 200 * time.Millisecond // bounds for accounts over their limits
+	maxRetryAfterLimit   = 2 * time.Second
 )
 
-// configurationWait is how long a request waits at an instance that has just started
-// and knows no configuration yet; it reads one within 200 ms if the store answers.
-const configurationWait = 400 * time.Millisecond
+// maxConfigurationWait is how long a request waits at a newly started instance that has
+// no configuration yet. The instance reads one within 200 ms if the store answers.
+const maxConfigurationWait = 400 * time.Millisecond
 
-// exchange is a caller's request on its way.
+// exchange is a caller's request in progress.
 type exchange struct {
 	method, target, host string
 	header               http.Header
 	body                 []byte
-	asked                Asked
-	began                time.Time
+	info                 Asked
+	receivedAt           time.Time
 	deadline             time.Time
 	table                *routes.Table
 	route                *routes.Route
 	account              routes.Account
 	service              routes.Service
 
-	sends    int // arrivals at upstreams
-	attempts []string
+	arrivals int      // number of times that the request was sent to an upstream
+	attempts []string // descriptions of the attempts, for the log
 }
 
 // outcome is the answer to a caller.
@@ -47,7 +47,7 @@
 	status     int
 	header     http.Header
 	body       []byte
-	reason     string // why this instance made the answer; empty if an upstream did
+	reason     string // why this instance generated the answer; empty if it is an upstream's
 	retryAfter time.Duration
 }
 
@@ -55,18 +55,18 @@
 	return outcome{status: status, reason: reason, retryAfter: retryAfter}
 }
 
-// serve answers a caller.
+// serve handles a caller's request.
 func (r *Router) serve(w http.ResponseWriter, req *http.Request) {
 	x := &exchange{
-		method: req.Method, target: req.RequestURI, host: req.Host, header: req.Header, began: time.Now(),
+		method: req.Method, target: req.RequestURI, host: req.Host, header: req.Header, receivedAt: time.Now(),
 	}
 	out := r.handle(req, x)
 	r.logRequest(x, out)
 	if out.reason != "" {
 		if out.status == http.StatusGatewayTimeout && req.Context().Err() != nil {
-			return // the caller has left
+			return // the caller has closed the connection
 		}
-		out.header = r.out.Protocol.Refusal(x.asked.ID, out.retryAfter)
+		out.header = r.platform.Protocol.Refusal(x.info.ID, out.retryAfter)
 	}
 	h := w.Header()
 	for name, values := range out.header {
@@ -75,14 +75,14 @@
 	h.Set("Content-Length", strconv.Itoa(len(out.body)))
 	w.WriteHeader(out.status)
 	if _, err := w.Write(out.body); err != nil {
-		r.log.Debug("answer not delivered", "request", x.asked.ID, "error", err)
+		r.log.Debug("sending the answer to the caller failed", "request", x.info.ID, "error", err)
 	}
 }
 
-// handle decides on a request and carries it out.
+// handle decides on a request and forwards it.
 func (r *Router) handle(req *http.Request, x *exchange) outcome {
 	var err error
-	if x.asked, err = r.out.Protocol.Asked(req.Header); err != nil {
+	if x.info, err = r.platform.Protocol.Asked(req.Header); err != nil {
 		return refuse(http.StatusBadRequest, "bad-header", 0)
 	}
 	if !strings.HasPrefix(x.target, "/") {
@@ -94,9 +94,9 @@
 	if refused, ok := r.admit(req.Context(), x); !ok {
 		return refused
 	}
-	x.deadline = x.began.Add(x.route.Timeout)
-	if x.asked.Budget > 0 && x.asked.Budget < x.route.Timeout {
-		x.deadline = x.began.Add(x.asked.Budget)
+	x.deadline = x.receivedAt.Add(x.route.Timeout)
+	if x.info.Budget > 0 && x.info.Budget < x.route.Timeout {
+		x.deadline = x.receivedAt.Add(x.info.Budget)
 	}
 	ctx, cancel := context.WithDeadline(req.Context(), x.deadline)
 	defer cancel()
@@ -106,11 +106,11 @@
 	return r.forwardToAny(ctx, x)
 }
 
-// admit finds the route, the account and the service of a request, and checks the
-// account's limit.
+// admit determines the route, the account and the service of a request, and checks the
+// account's limit. If the request is refused, it returns the refusal and false.
 func (r *Router) admit(ctx context.Context, x *exchange) (outcome, bool) {
 	if !r.awaitConfiguration(ctx) {
-		return refuse(http.StatusServiceUnavailable, "no-configuration", retryNotReady), false
+		return refuse(http.StatusServiceUnavailable, "no-configuration", retryAfterNotReady), false
 	}
 	x.table = r.operator.Load().Table
 	path, _, _ := strings.Cut(x.target, "?")
@@ -119,32 +119,32 @@
 	}
 	if !x.route.Open && len(x.table.Accounts) > 0 {
 		known := false
-		if x.account, known = x.table.Account(x.asked.Key); !known || !x.asked.HasKey {
+		if x.account, known = x.table.Account(x.info.Key); !known || !x.info.HasKey {
 			return refuse(http.StatusUnauthorized, "unknown-key", 0), false
 		}
 	}
 	if ok, wait := r.withinLimit(ctx, x); !ok {
-		return refuse(http.StatusTooManyRequests, "over-limit", min(max(wait, minRetryQuota), maxRetryQuota)), false
+		return refuse(http.StatusTooManyRequests, "over-limit", min(max(wait, minRetryAfterLimit), maxRetryAfterLimit)), false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x.service = x.table.Services[x.route.Pick(r.rng)]
-	r.budget(x.service.ID).Request(x.began, r.instanceCount())
-	if x.service.Sharded && x.asked.HasRouting && len(r.asked[x.service.ID]) < maxReportedKeys {
-		r.asked[x.service.ID] = append(r.asked[x.service.ID], x.asked.RoutingKey)
+	r.retryBudget(x.service.ID).Request(x.receivedAt, r.instanceCount())
+	if x.service.Sharded && x.info.HasRouting && len(r.requestedKeys[x.service.ID]) < maxReportedKeys {
+		r.requestedKeys[x.service.ID] = append(r.requestedKeys[x.service.ID], x.info.RoutingKey)
 	}
 	return outcome{}, true
 }
 
-// awaitConfiguration waits for the first configuration, and reports whether there is
-// one.
+// awaitConfiguration waits up to maxConfigurationWait for the first configuration, and
+// reports whether there is one.
 func (r *Router) awaitConfiguration(ctx context.Context) bool {
 	select {
 	case <-r.configured:
 		return true
 	default:
 	}
-	t := time.NewTimer(configurationWait)
+	t := time.NewTimer(maxConfigurationWait)
 	defer t.Stop()
 	select {
 	case <-r.configured:
@@ -156,19 +156,19 @@
 }
 
 func (r *Router) logRequest(x *exchange, out outcome) {
-	took := time.Since(x.began)
+	took := time.Since(x.receivedAt)
 	r.mu.Lock()
 	attempts := strings.Join(x.attempts, " ")
-	age := time.Since(r.listed)
+	age := time.Since(r.listedAt)
 	instances := len(r.instances)
 	r.mu.Unlock()
 	route, service := "", fleet.ServiceID("")
 	if x.route != nil {
 		route, service = x.route.Name, x.service.ID
 	}
-	r.metrics.request(service, out.status, out.reason, took)
+	r.metrics.countRequest(service, out.status, out.reason, took)
 	fields := []any{
-		"request", x.asked.ID, "status", out.status, "took-ms", took.Milliseconds(), "route", route,
+		"request", x.info.ID, "status", out.status, "took-ms", took.Milliseconds(), "route", route,
 		"service", service, "account", x.account.ID, "attempts", attempts,
 	}
 	if x.table != nil {
@@ -179,8 +179,8 @@
 		return
 	}
 	if x.service.Sharded {
-		fields = append(fields, "key", x.asked.RoutingKey)
-		if m := r.keys.Load(); m != nil {
+		fields = append(fields, "key", x.info.RoutingKey)
+		if m := r.holderMap.Load(); m != nil {
 			fields = append(fields, "term", m.Version.Term, "map", m.Version.Seq)
 		}
 	}
