--- a/internal/direct/shared.go
+++ b/internal/direct/shared.go
@@ -9,40 +9,41 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// sharedList is the leader's list of upstreams, which the other instances get with
-// its replies, so that only one instance reads it from the store.
-type sharedList struct {
-	seq     uint64
-	entries map[fleet.UpstreamID]sharedEntry
-	removed map[fleet.UpstreamID]uint64 // the change that removed it
+// leaderList is the leader's list of upstreams. The other instances get it in replies
+// to their reports, so that only the leader reads it from the store.
+type leaderList struct {
+	seq     uint64 // version, which grows by one with each change
+	entries map[fleet.UpstreamID]leaderListEntry
+	removed map[fleet.UpstreamID]uint64 // version in which each upstream was removed
 }
 
-type sharedEntry struct {
+type leaderListEntry struct {
 	balance.Registration
 	coldUntil time.Time
-	seq       uint64 // the change that brought it
+	seq       uint64 // version in which the entry was added or last changed
 }
 
-// coldTolerance is the difference in the end of a cold time that is not told.
-const coldTolerance = 400 * time.Millisecond
+// coldEndTolerance is the largest difference in the end of an upstream's cold phase
+// that is not sent as a change.
+const coldEndTolerance = 400 * time.Millisecond
 
-func newSharedList() *sharedList {
-	return &sharedList{entries: make(map[fleet.UpstreamID]sharedEntry), removed: make(map[fleet.UpstreamID]uint64)}
+func newLeaderList() *leaderList {
+	return &leaderList{entries: make(map[fleet.UpstreamID]leaderListEntry), removed: make(map[fleet.UpstreamID]uint64)}
 }
 
-// update takes over a whole list and reports whether it changed.
-func (s *sharedList) update(now time.Time, list []balance.Registration) bool {
+// update replaces the list, and reports whether it changed.
+func (s *leaderList) update(now time.Time, list []balance.Registration) bool {
 	next := s.seq + 1
 	seen := make(map[fleet.UpstreamID]bool, len(list))
 	for _, r := range list {
 		seen[r.ID] = true
-		e := sharedEntry{Registration: r, seq: next}
+		e := leaderListEntry{Registration: r, seq: next}
 		if r.ColdLeft > 0 {
 			e.coldUntil = now.Add(r.ColdLeft)
 		}
 		e.ColdLeft = 0
 		old, known := s.entries[r.ID]
-		if known && old.Registration == e.Registration && old.coldUntil.Add(coldTolerance).After(e.coldUntil) {
+		if known && old.Registration == e.Registration && old.coldUntil.Add(coldEndTolerance).After(e.coldUntil) {
 			continue
 		}
 		s.entries[r.ID] = e
@@ -59,9 +60,9 @@
 	return s.seq == next
 }
 
-// since returns what changed after seq.
-func (s *sharedList) since(now time.Time, seq uint64) listDelta {
-	d := listDelta{Seq: s.seq, Whole: seq == 0}
+// changesSince returns the changes after version seq, or the complete list if seq is 0.
+func (s *leaderList) changesSince(now time.Time, seq uint64) listDelta {
+	d := listDelta{Seq: s.seq, Complete: seq == 0}
 	for _, e := range s.entries {
 		if e.seq <= seq {
 			continue
@@ -70,37 +71,38 @@
 		r.ColdLeft = max(0, e.coldUntil.Sub(now))
 		d.Changed = append(d.Changed, r)
 	}
-	for id, at := range s.removed {
-		if at > seq && seq > 0 {
+	for id, removedIn := range s.removed {
+		if removedIn > seq && seq > 0 {
 			d.Removed = append(d.Removed, id)
 		}
 	}
 	return d
 }
 
-// listDelta is what an instance does not know yet.
+// listDelta is the part of the leader's list that an instance lacks.
 type listDelta struct {
-	Seq     uint64
-	Whole   bool // Changed is the whole list
-	Age     time.Duration
-	Changed []balance.Registration
-	Removed []fleet.UpstreamID
+	Seq      uint64        // version of the leader's list
+	Complete bool          // Changed is the complete list
+	Age      time.Duration // time since the leader requested the list from the store
+	Changed  []balance.Registration
+	Removed  []fleet.UpstreamID
 }
 
-// followedList is an instance's copy of the leader's list.
-type followedList struct {
+// listReplica is an instance's copy of the leader's list.
+type listReplica struct {
 	term, seq uint64
 	entries   map[fleet.UpstreamID]balance.Registration
 }
 
-// apply takes over a delta of the leader of a term. It returns the whole list.
-func (f *followedList) apply(term uint64, d listDelta) []balance.Registration {
-	if d.Whole || f.term != term {
+// apply applies a delta from the leader of the given term, and returns the resulting
+// list.
+func (f *listReplica) apply(term uint64, d listDelta) []balance.Registration {
+	if d.Complete || f.term != term {
 		f.entries = make(map[fleet.UpstreamID]balance.Registration)
 	}
 	f.term, f.seq = term, d.Seq
 	for id, r := range f.entries {
-		r.ColdLeft = 0 // it was told when it was new
+		r.ColdLeft = 0 // the remaining cold time was valid only when it was sent
 		f.entries[id] = r
 	}
 	for _, r := range d.Changed {
@@ -122,7 +124,7 @@
 	e.UInt64(d.Seq)
 	e.FieldStart("age-ms")
 	e.Int64(d.Age.Milliseconds())
-	if d.Whole {
+	if d.Complete {
 		e.FieldStart("whole")
 		e.Bool(true)
 	}
@@ -179,7 +181,7 @@
 		case "age-ms":
 			l.Age, err = decodeMillis(d)
 		case "whole":
-			l.Whole, err = d.Bool()
+			l.Complete, err = d.Bool()
 		case "changed":
 			err = d.Arr(func(d *jx.Decoder) error {
 				r, err := decodeRegistration(d)
