--- a/internal/keyspace/baseline.go
+++ b/internal/keyspace/baseline.go
@@ -2,4 +2,4 @@
 
 package keyspace
 
-const evened = false
+const balanceByLoad = false
--- a/internal/keyspace/calls.go
+++ b/internal/keyspace/calls.go
@@ -6,42 +6,43 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Call is an order to an upstream.
+// Call is a request to an upstream to take over, renew or release a span of keys.
 type Call struct {
 	Service  fleet.ServiceID
 	Upstream fleet.UpstreamID
 	Boot     fleet.BootID
 	Span
 	Fence    fleet.Fence
-	Release  bool // else it is a grant
-	Hold     time.Duration
-	Handover string
+	Release  bool          // false for a grant or its renewal
+	Hold     time.Duration // requested validity of a grant
+	Handover string        // what the previous holder returned when it released the keys
 
-	piece *piece
+	shard *shard
 }
 
-// Result is how a call ended.
+// Result is the outcome of a call.
 type Result int
 
-// The ways in which a call ends.
+// The outcomes of a call.
 const (
 	Done     Result = iota
 	Conflict        // the upstream has seen a higher fencing token
-	NotSent         // the upstream cannot have got it
-	NoAnswer        // the upstream may carry it out, also later
-	Gone            // the upstream has ended or is another one
+	NotSent         // the upstream cannot have received the call
+	NoAnswer        // the upstream may have executed the call or may still do so
+	Gone            // the upstream has stopped, or another one listens at its address
 )
 
-// Calls returns the calls that are due. Each must be answered with Ended.
+// Calls returns the calls that are due. The caller must report the result of each
+// with Ended.
 func (o *Owner) Calls(now time.Time) []Call {
 	var calls []Call
 	for _, s := range o.services {
-		for _, p := range s.pieces {
-			if p.calling || now.Before(p.due) {
+		for _, sh := range s.shards {
+			if sh.callPending || now.Before(sh.nextCall) {
 				continue
 			}
-			if c, ok := o.call(now, s, p); ok {
-				p.calling = true
+			if c, ok := o.nextCallFor(now, s, sh); ok {
+				sh.callPending = true
 				calls = append(calls, c)
 			}
 		}
@@ -49,168 +50,172 @@
 	return calls
 }
 
-// call returns the next call for p, after the steps that need none.
-func (o *Owner) call(now time.Time, s *service, p *piece) (Call, bool) {
-	c := Call{Service: s.id, Upstream: p.holder, Boot: p.boot, Span: p.Span, Fence: p.fence, Hold: o.timing.Hold, Handover: p.handover, piece: p}
-	if now.Before(p.barred) {
-		p.due = p.barred
+// nextCallFor advances the state of sh as far as that is possible without a call, and
+// returns the next call. It returns false if none is due.
+func (o *Owner) nextCallFor(now time.Time, s *service, sh *shard) (Call, bool) {
+	c := Call{Service: s.id, Upstream: sh.holder, Boot: sh.boot, Span: sh.Span, Fence: sh.fence, Hold: o.timing.Hold, Handover: sh.handover, shard: sh}
+	if now.Before(sh.blockedUntil) {
+		sh.nextCall = sh.blockedUntil
 		return Call{}, false
 	}
-	if p.next != nil && p.stored {
-		return o.moveCall(now, s, p, c)
+	if sh.next != nil && sh.recorded {
+		return o.nextMoveCall(now, s, sh, c)
 	}
-	switch p.state {
-	case held:
-		u, known := s.upstreams[p.holder]
-		if known && u.Boot != p.boot {
-			return Call{}, false // it holds nothing; the plan gives the piece a holder
+	switch sh.state {
+	case stateHeld:
+		u, known := s.upstreams[sh.holder]
+		if known && u.Boot != sh.boot {
+			return Call{}, false // a restarted upstream holds no keys; Plan assigns a holder
 		}
 		c.Handover = ""
 		return c, true
-	case waiting:
-		p.state = granting
-		return c, p.stored
-	case granting:
-		return c, p.stored
+	case stateWaiting:
+		sh.state = stateGranting
+		return c, sh.recorded
+	case stateGranting:
+		return c, sh.recorded
 	}
 	return Call{}, false
 }
 
-// moveCall returns the next call of a move whose record is stored.
-func (o *Owner) moveCall(now time.Time, s *service, p *piece, c Call) (Call, bool) {
-	if now.After(p.maxHold) || p.holder == "" {
-		o.pass(now, p, "")
+// nextMoveCall returns the next call of a move whose record is stored. It returns
+// false if the move is complete without a call.
+func (o *Owner) nextMoveCall(now time.Time, s *service, sh *shard, c Call) (Call, bool) {
+	if now.After(sh.latestHoldEnd) || sh.holder == "" {
+		o.completeMove(now, sh, "")
 		return Call{}, false
 	}
-	if u, known := s.upstreams[p.holder]; known {
-		// A restarted holder starts without keys, but grants may have reached it before
-		// the restart was known.
+	if u, known := s.upstreams[sh.holder]; known {
+		// A restarted upstream starts without keys, but may have received grants before
+		// this leader learned of the restart.
 		c.Boot = u.Boot
 	}
 	c.Handover = ""
-	c.Fence = p.next.bump
-	if p.state == held {
-		o.changed = true
+	c.Fence = sh.next.raisedFence
+	if sh.state == stateHeld {
+		o.mapChanged = true
 	}
 	switch {
-	case p.state == releasing:
-	case o.contacts[p.holder].unreachable(now), p.failures >= refusedAfter, p.next.bumps >= maxBumps:
-		p.state = releasing // a further grant would only extend its hold
-	case now.After(p.uncertain) && now.After(o.settled):
-		p.state = releasing // no grant is on its way
+	case sh.state == stateReleasing:
+	case o.reachability[sh.holder].unreachable(now), sh.failures >= maxGrantFailures, sh.next.fenceRaises >= maxFenceRaises:
+		sh.state = stateReleasing // another grant would only extend the hold
+	case now.After(sh.unconfirmedHoldEnd) && now.After(o.oldCallsEnd):
+		sh.state = stateReleasing // no grant can still be in flight
 	default:
-		p.state = bumping
+		sh.state = stateRaisingFence
 		return c, true
 	}
 	c.Release = true
 	return c, true
 }
 
-// pass gives p to its next holder, who is granted it at the next call.
-func (o *Owner) pass(now time.Time, p *piece, handover string) {
-	n := p.next
-	p.holder, p.boot, p.fence, p.next = n.holder, n.boot, n.fence, nil
-	p.handover, p.state, p.due, p.failures = handover, granting, now, 0
-	p.maxHold, p.uncertain, p.everServed = time.Time{}, time.Time{}, false
-	o.changed = true
-	o.outdate(now) // the next leader need not wait for the former holder any more
+// completeMove makes the next holder of sh its holder. The next call grants the keys
+// to it.
+func (o *Owner) completeMove(now time.Time, sh *shard, handover string) {
+	n := sh.next
+	sh.holder, sh.boot, sh.fence, sh.next = n.holder, n.boot, n.fence, nil
+	sh.handover, sh.state, sh.nextCall, sh.failures = handover, stateGranting, now, 0
+	sh.latestHoldEnd, sh.unconfirmedHoldEnd, sh.everGranted = time.Time{}, time.Time{}, false
+	o.mapChanged = true
+	o.markOverstated(now) // a new leader need no longer wait for the former holder
 }
 
-// Ended takes over the result of a call that was sent at began.
+// Ended updates the state with the result of c, which must come from Calls. handover
+// is the text that an upstream returned when it released keys.
 func (o *Owner) Ended(now time.Time, c Call, r Result, handover string) {
-	p := c.piece
-	p.calling = false
-	o.noteContact(now, c.Upstream, r)
+	sh := c.shard
+	sh.callPending = false
+	o.updateReachability(now, c.Upstream, r)
 	if c.Release {
-		o.released(now, p, r, handover)
+		o.releaseEnded(now, sh, r, handover)
 		return
 	}
 	switch r {
 	case Done:
-		p.maxHold = later(p.maxHold, now.Add(time.Duration(float64(c.Hold)*clockError)))
+		sh.latestHoldEnd = laterTime(sh.latestHoldEnd, now.Add(time.Duration(float64(c.Hold)*clockDriftFactor)))
 	case NoAnswer:
-		p.uncertain = later(p.uncertain, o.latestHold(now))
-		p.maxHold = later(p.maxHold, p.uncertain)
+		sh.unconfirmedHoldEnd = laterTime(sh.unconfirmedHoldEnd, o.latestExpiry(now))
+		sh.latestHoldEnd = laterTime(sh.latestHoldEnd, sh.unconfirmedHoldEnd)
 	}
-	if p.state == bumping && c.Fence != p.fence {
-		o.bumped(now, p, r)
+	if sh.state == stateRaisingFence && c.Fence != sh.fence {
+		o.fenceRaiseEnded(now, sh, r)
 		return
 	}
-	o.renewed(now, p, r)
+	o.grantEnded(now, sh, r)
 }
 
-func (o *Owner) noteContact(now time.Time, id fleet.UpstreamID, r Result) {
-	c := o.contacts[id]
+func (o *Owner) updateReachability(now time.Time, id fleet.UpstreamID, r Result) {
+	c := o.reachability[id]
 	if r == Done || r == Conflict {
-		c = contact{lastDone: now}
+		c = reachability{lastDone: now}
 	} else {
 		c.failures++
 		c.lastFailed = now
 	}
-	o.contacts[id] = c
+	o.reachability[id] = c
 }
 
-// bumped continues a move after the grant of a higher fencing token.
-func (o *Owner) bumped(now time.Time, p *piece, r Result) {
-	p.due = now
+// fenceRaiseEnded continues a move after a grant with a higher fencing token.
+func (o *Owner) fenceRaiseEnded(now time.Time, sh *shard, r Result) {
+	sh.nextCall = now
 	if r == Done {
-		p.uncertain = time.Time{} // older grants are refused from now on
-		p.state = releasing
+		sh.unconfirmedHoldEnd = time.Time{} // the holder refuses older grants from now on
+		sh.state = stateReleasing
 		return
 	}
-	p.next.bump++
-	p.next.bumps++
+	sh.next.raisedFence++
+	sh.next.fenceRaises++
 }
 
-func (o *Owner) released(now time.Time, p *piece, r Result, handover string) {
-	if p.next == nil {
+func (o *Owner) releaseEnded(now time.Time, sh *shard, r Result, handover string) {
+	if sh.next == nil {
 		return
 	}
 	if r != Done {
-		p.due = now.Add(o.timing.Retry)
+		sh.nextCall = now.Add(o.timing.Retry)
 		return
 	}
-	if now.Before(p.uncertain) {
-		// A grant that is still on its way could take the keys again.
-		p.maxHold, p.due = p.uncertain, p.uncertain
+	if now.Before(sh.unconfirmedHoldEnd) {
+		// A grant that is still in flight could make the upstream take the keys again.
+		sh.latestHoldEnd, sh.nextCall = sh.unconfirmedHoldEnd, sh.unconfirmedHoldEnd
 		return
 	}
-	o.pass(now, p, handover)
+	o.completeMove(now, sh, handover)
 }
 
-func (o *Owner) renewed(now time.Time, p *piece, r Result) {
+func (o *Owner) grantEnded(now time.Time, sh *shard, r Result) {
 	switch r {
 	case Done:
-		p.failures = 0
-		p.due = now.Add(o.timing.Renew)
-		p.handover = ""
-		if p.state == granting {
-			p.state, p.everServed = held, true
-			o.changed = true
+		sh.failures = 0
+		sh.nextCall = now.Add(o.timing.Renew)
+		sh.handover = ""
+		if sh.state == stateGranting {
+			sh.state, sh.everGranted = stateHeld, true
+			o.mapChanged = true
 		}
-		if !p.barred.IsZero() {
-			p.barred = time.Time{}
-			o.outdate(now)
+		if !sh.blockedUntil.IsZero() {
+			sh.blockedUntil = time.Time{}
+			o.markOverstated(now)
 		}
 	case Conflict:
-		// The upstream has seen a higher token, which nobody but a leader hands out:
-		// a new token is planned.
-		p.failures = refusedAfter
-		p.due = now.Add(o.timing.Retry)
+		// Only leaders issue tokens, so the higher token that the upstream has seen came
+		// from another leader. Plan allocates a new token.
+		sh.failures = maxGrantFailures
+		sh.nextCall = now.Add(o.timing.Retry)
 	default:
-		p.failures++
-		p.due = now.Add(o.timing.Retry)
+		sh.failures++
+		sh.nextCall = now.Add(o.timing.Retry)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// String returns the name for logs and metrics.
+// String returns the name of r in logs and metrics.
 func (r Result) String() string {
 	return [...]string{"done", "conflict", "not-sent", "no-answer", "gone"}[r]
 }
--- a/internal/keyspace/keyspace.go
+++ b/internal/keyspace/keyspace.go
@@ -1,19 +1,18 @@
-// Package keyspace decides which upstream holds which keys of a sharded service,
-// and carries the decision out.
+// Package keyspace assigns the keys of sharded services to upstreams and produces the
+// calls that transfer keys between upstreams.
 //
-// Keys are numbers from 0 to 65,535. A piece is a span of keys with one holder and
-// one fencing token. The Owner is the state of the instance that leads: it plans
-// pieces by load, and produces the calls to upstreams that grant, renew and
-// release them. It has no clock and does no input or output; its caller carries
-// out calls and saves records.
+// Keys are numbers from 0 to 65,535. A shard is a span of keys with one holder and
+// one fencing token. Owner is the state of the leading instance: it assigns shards
+// by load, and produces the calls to upstreams that grant, renew and release them. It
+// reads no clock and does no I/O; its caller sends the calls and stores the records.
 //
 // Invariants:
-//   - no upstream is granted a key before the record that says so is stored
+//   - no key is granted to an upstream before the record of that assignment is stored
 //   - a key is granted to another upstream only after its holder has released it,
-//     or after every grant that the holder may have got has run out
-//   - if a grant to the holder may still be on its way, from this leader or an
-//     earlier one, the holder gets a higher fencing token before the release, so
-//     that the late grant is refused
+//     or after every grant that the holder may have received has expired
+//   - if a grant to the holder may still be in flight, from this leader or an
+//     earlier one, the holder is given a higher fencing token before the release, so
+//     that it refuses the late grant
 package keyspace
 
 import (
@@ -24,7 +23,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Key is what a request to a sharded service is routed by.
+// Key is the routing key of a request to a sharded service.
 type Key uint16
 
 const (
@@ -33,16 +32,17 @@
 	Keys = maxKey + 1
 )
 
-// Span is the keys from From to To, both included.
+// Span is a range of keys. It includes From and To.
 type Span struct{ From, To Key }
 
-// Held is a span with its holder, who is empty while the span moves.
+// Held is a span with its holder. The holder is empty while the span moves.
 type Held struct {
 	Span
 	Holder fleet.UpstreamID
 }
 
-// MapVersion orders maps: by the term of the leader, then by its count.
+// MapVersion orders maps by the term of the leader that made them, then by the
+// sequence number within the term.
 type MapVersion struct{ Term, Seq uint64 }
 
 // Less reports whether v is older than o.
@@ -50,13 +50,13 @@
 	return v.Term < o.Term || v.Term == o.Term && v.Seq < o.Seq
 }
 
-// Map tells the holder of every key. It never changes.
+// Map contains the holder of every key. It is immutable.
 type Map struct {
 	Version  MapVersion
 	Services map[fleet.ServiceID][]Held // in order of keys
 }
 
-// Holder returns the upstream that holds k, or "" if none does now.
+// Holder returns the upstream that holds k, or "" if no upstream holds it.
 func (m *Map) Holder(service fleet.ServiceID, k Key) fleet.UpstreamID {
 	spans := m.Services[service]
 	i, found := slices.BinarySearchFunc(spans, k, func(h Held, k Key) int { return cmp.Compare(h.To, k) })
@@ -66,7 +66,7 @@
 	return spans[i].Holder // spans have no gaps
 }
 
-// Diff returns the spans of m whose holder is another than in old.
+// Diff returns the spans of m whose holder differs from that in old.
 func (m *Map) Diff(old *Map) map[fleet.ServiceID][]Held {
 	diff := make(map[fleet.ServiceID][]Held)
 	for id, spans := range m.Services {
@@ -96,7 +96,7 @@
 	return diff
 }
 
-// With returns m with other holders for the spans of diff.
+// With returns a copy of m with version v and the holders of diff for its spans.
 func (m *Map) With(v MapVersion, diff map[fleet.ServiceID][]Held) *Map {
 	out := &Map{Version: v, Services: make(map[fleet.ServiceID][]Held, len(m.Services))}
 	for id, spans := range m.Services {
@@ -129,7 +129,7 @@
 	return out
 }
 
-// appendHeld appends h, or extends the last span if it has the same holder.
+// appendHeld appends h, or extends the last span if both have the same holder.
 func appendHeld(spans []Held, h Held) []Held {
 	if n := len(spans); n > 0 && spans[n-1].Holder == h.Holder {
 		spans[n-1].To = h.To
@@ -138,173 +138,177 @@
 	return append(spans, h)
 }
 
-// Timing is how long grants last.
+// Timing contains the durations that apply to grants.
 type Timing struct {
-	Hold  time.Duration // asked for with each grant
-	Renew time.Duration // between two renewals
-	Retry time.Duration // after a call that failed
+	Hold  time.Duration // validity that each grant requests
+	Renew time.Duration // interval between renewals
+	Retry time.Duration // delay after a failed call
 }
 
-// clockError is how much longer an upstream with a slow clock may count a hold.
-const clockError = 1.02
+// clockDriftFactor is the factor by which a grant may last longer than its hold time
+// at an upstream whose clock is slow.
+const clockDriftFactor = 1.02
 
-// arrivalMargin is how much later than its caller gave up a call may still arrive.
-const arrivalMargin = 200 * time.Millisecond
+// maxArrivalDelay is how long after its timeout a call may still reach the upstream.
+const maxArrivalDelay = 200 * time.Millisecond
 
 const (
-	// unreachableAfter is the number of calls without success in a row, and
-	// unreachableTime the time since the last success, after which the pieces of an
-	// upstream are given to others as soon as their hold has run out.
-	unreachableAfter = 1
-	unreachableTime  = 1000 * time.Millisecond
-	// unreachableFor is how long an upstream is no candidate after a failed call.
-	unreachableFor = 3 * time.Second
-	// refusedAfter is the number of refused grants after which a piece is planned anew.
-	refusedAfter = 3
+	// unreachableFailures is the number of consecutive failed calls, and
+	// unreachableSilence the time since the last success, after which an upstream counts
+	// as unreachable. Its shards go to other upstreams as soon as their grants expire.
+	unreachableFailures = 1
+	unreachableSilence  = 1000 * time.Millisecond
+	// unreachableRetryTime is the time after the last failed call from which on an
+	// unreachable upstream is a candidate for keys again.
+	unreachableRetryTime = 3 * time.Second
+	// maxGrantFailures is the number of consecutive failed grants of a shard after which
+	// it is assigned again.
+	maxGrantFailures = 3
 )
 
-// staleLeader is how long an earlier leader may go on renewing grants after another
-// was elected: until it hears that others reach the store.
-const staleLeader = 1500 * time.Millisecond
+// staleLeaderTime is how long a deposed leader may continue to renew grants after the
+// election of another: until it learns that other instances reach the store.
+const staleLeaderTime = 1500 * time.Millisecond
 
-// maxBumps is the number of fencing tokens reserved for the holder of a piece that
-// moves. Each try needs a higher one, since the last may still be on its way.
-const maxBumps = 3
+// maxFenceRaises is the number of fencing tokens that a move reserves for the present
+// holder. Each attempt needs a higher token, since the previous grant may still be in
+// flight.
+const maxFenceRaises = 3
 
-// contact is how calls to an upstream ended lately.
-type contact struct {
-	failures   int // in a row
+// reachability contains the recent outcomes of calls to an upstream.
+type reachability struct {
+	failures   int // consecutive
 	lastDone   time.Time
 	lastFailed time.Time
 }
 
-func (c contact) unreachable(now time.Time) bool {
-	return c.failures >= unreachableAfter && now.Sub(c.lastDone) > unreachableTime && now.Sub(c.lastFailed) < unreachableFor
+func (r reachability) unreachable(now time.Time) bool {
+	return r.failures >= unreachableFailures && now.Sub(r.lastDone) > unreachableSilence && now.Sub(r.lastFailed) < unreachableRetryTime
 }
 
-type state int
+type shardState int
 
 const (
-	granting state = iota // waits for the first answer of its holder
-	held
-	bumping   // gives the holder a higher fencing token before the release
-	releasing // waits for the release
-	waiting   // waits until no earlier holder can hold it
+	stateGranting     shardState = iota // the holder has not yet confirmed its first grant
+	stateHeld                           // the holder has confirmed a grant
+	stateRaisingFence                   // the holder is given a higher fencing token before the release
+	stateReleasing                      // the holder has not yet confirmed the release
+	stateWaiting                        // an earlier holder may still hold the keys
 )
 
-// target is where a piece goes.
-type target struct {
-	holder fleet.UpstreamID
-	boot   fleet.BootID
-	bump   fleet.Fence // the next one for the present holder
-	bumps  int         // tried so far
-	fence  fleet.Fence // for the new one
+// transfer is the planned move of a shard to another holder.
+type transfer struct {
+	holder      fleet.UpstreamID
+	boot        fleet.BootID
+	raisedFence fleet.Fence // the next higher fencing token for the present holder
+	fenceRaises int         // failed grants of a higher fencing token
+	fence       fleet.Fence // for the new holder
 }
 
-// piece is a span with one holder.
-type piece struct {
+// shard is a span of keys with one holder.
+type shard struct {
 	Span
-	state  state
-	holder fleet.UpstreamID
-	boot   fleet.BootID
-	fence  fleet.Fence
-	next   *target // where it goes once the record is stored
-	stored bool    // the record names the holder, or the next one if there is one
-
-	handover   string
-	calling    bool
-	due        time.Time // of the next call
-	maxHold    time.Time // the latest end of any grant that the holder may have
-	uncertain  time.Time // the latest end of a grant without an answer
-	failures   int       // of renewals in a row
-	everServed bool
-	barred     time.Time // nobody else is granted it before; set after a takeover amid a move
+	state    shardState
+	holder   fleet.UpstreamID
+	boot     fleet.BootID
+	fence    fleet.Fence
+	next     *transfer // nil unless a move is planned; starts once the record is stored
+	recorded bool      // the stored record contains the next holder, or the holder if next is nil
+
+	handover           string    // from the previous holder, for the first grant
+	callPending        bool      // a call was returned by Calls and has not ended
+	nextCall           time.Time // when the next call is due
+	latestHoldEnd      time.Time // latest expiry of any grant that the holder may have
+	unconfirmedHoldEnd time.Time // latest expiry of a grant without an answer
+	failures           int       // consecutive failed grants
+	everGranted        bool      // the holder has confirmed a grant
+	blockedUntil       time.Time // no grant before then, since an earlier holder may hold the keys; set if the leader changed during a move
 }
 
 // Upstream is a candidate for holding keys.
 type Upstream struct {
 	ID       fleet.UpstreamID
 	Boot     fleet.BootID
-	Usable   bool // may get requests
-	Cold     bool
-	Capacity float64 // requests a second
-	Speed    float64 // relative to its service's mean; 0 is unknown
+	Usable   bool    // may be sent requests
+	Cold     bool    // recently started, so that it serves little
+	Capacity float64 // requests per second
+	Speed    float64 // relative to the mean of the service; 0 if unknown
 }
 
-// service is the pieces of one service.
+// service contains the shards and candidates of one service.
 type service struct {
-	id        fleet.ServiceID
-	pieces    []*piece // in order of keys, without gaps
-	upstreams map[fleet.UpstreamID]Upstream
-	order     []fleet.UpstreamID // ids of upstreams, sorted
-	first     time.Time          // when a candidate was first seen
-	latest    time.Time          // when a new one was seen last
-	decayed   time.Time          // when the heat faded last
-	heat      *Heat
+	id         fleet.ServiceID
+	shards     []*shard // in order of keys, without gaps
+	upstreams  map[fleet.UpstreamID]Upstream
+	sortedIDs  []fleet.UpstreamID // keys of upstreams, in order
+	firstSeen  time.Time          // when the first candidate was listed
+	lastJoined time.Time          // when a new candidate was last listed
+	lastDecay  time.Time          // when keyLoad was last decayed
+	keyLoad    *LoadCounter
 }
 
-// Owner is the leader's state of all pieces.
+// Owner is the leader's assignment of all shards to upstreams.
 type Owner struct {
-	timing    Timing
-	term      uint64
-	instances []fleet.Peer // of the fleet
-	settled   time.Time    // from then on no call of an earlier leader is on its way
-	seq       uint64
-	nextFence fleet.Fence
-	services  map[fleet.ServiceID]*service
-	contacts  map[fleet.UpstreamID]contact
-	moves     []Move
-	changed   bool      // the map changed
-	dirty     bool      // the record changed, and calls wait until it is stored
-	outdated  time.Time // since when the record is more cautious than it need be
+	timing          Timing
+	term            uint64
+	instances       []fleet.Peer // of the fleet
+	oldCallsEnd     time.Time    // no call of an earlier leader is in flight after this time
+	mapSeq          uint64
+	nextFence       fleet.Fence
+	services        map[fleet.ServiceID]*service
+	reachability    map[fleet.UpstreamID]reachability
+	moves           []Move
+	mapChanged      bool      // since the last call of Map
+	recordDirty     bool      // calls wait until the changed record is stored
+	overstatedSince time.Time // when the record began to list holds that have ended; zero if it lists none
 }
 
-// NewOwner returns the state of a leader that has just taken over from the one that
-// stored rec.
+// NewOwner returns the state of a newly elected leader. rec is the record that the
+// previous leader stored.
 func NewOwner(now time.Time, term uint64, t Timing, rec Record) *Owner {
-	o := &Owner{timing: t, term: term, instances: rec.Instances, nextFence: max(rec.NextFence, 1), services: make(map[fleet.ServiceID]*service), contacts: make(map[fleet.UpstreamID]contact), changed: true}
-	latest := o.latestHold(now.Add(staleLeader))
-	o.settled = latest
-	for id, pieces := range rec.Services {
-		s := &service{id: id, heat: NewHeat(), first: now}
-		for _, r := range pieces {
-			p := &piece{Span: r.Span, holder: r.Holder, boot: r.Boot, fence: r.Fence, stored: true, state: held, due: now, maxHold: latest, uncertain: latest, everServed: true}
+	o := &Owner{timing: t, term: term, instances: rec.Instances, nextFence: max(rec.NextFence, 1), services: make(map[fleet.ServiceID]*service), reachability: make(map[fleet.UpstreamID]reachability), mapChanged: true}
+	latest := o.latestExpiry(now.Add(staleLeaderTime))
+	o.oldCallsEnd = latest
+	for id, shards := range rec.Services {
+		s := &service{id: id, keyLoad: NewLoadCounter(), firstSeen: now}
+		for _, r := range shards {
+			sh := &shard{Span: r.Span, holder: r.Holder, boot: r.Boot, fence: r.Fence, recorded: true, state: stateHeld, nextCall: now, latestHoldEnd: latest, unconfirmedHoldEnd: latest, everGranted: true}
 			if r.Moving {
-				// The former holder may still hold the keys.
-				p.state, p.due, p.barred, p.everServed = waiting, latest, latest, false
+				// The holder before r.Holder may still hold the keys.
+				sh.state, sh.nextCall, sh.blockedUntil, sh.everGranted = stateWaiting, latest, latest, false
 			}
-			s.pieces = append(s.pieces, p)
+			s.shards = append(s.shards, sh)
 		}
 		o.services[id] = s
 	}
 	return o
 }
 
-// SetInstances tells the instances of the fleet, which the next record lists. If now
-// is set, there is one at once.
+// SetInstances sets the instances of the fleet, which the next record lists. If now is
+// true, the next Save returns a record even if nothing else has changed.
 func (o *Owner) SetInstances(list []fleet.Peer, now bool) {
 	o.instances = list
-	o.dirty = o.dirty || now
+	o.recordDirty = o.recordDirty || now
 }
 
-func (o *Owner) latestHold(now time.Time) time.Time {
-	return now.Add(time.Duration(float64(o.timing.Hold)*clockError) + arrivalMargin)
+func (o *Owner) latestExpiry(now time.Time) time.Time {
+	return now.Add(time.Duration(float64(o.timing.Hold)*clockDriftFactor) + maxArrivalDelay)
 }
 
-// Map returns the map if it changed since the last call.
+// Map returns the map and true if it has changed since the last call.
 func (o *Owner) Map() (*Map, bool) {
-	if !o.changed {
+	if !o.mapChanged {
 		return nil, false
 	}
-	o.changed = false
-	o.seq++
-	m := &Map{Version: MapVersion{Term: o.term, Seq: o.seq}, Services: make(map[fleet.ServiceID][]Held)}
+	o.mapChanged = false
+	o.mapSeq++
+	m := &Map{Version: MapVersion{Term: o.term, Seq: o.mapSeq}, Services: make(map[fleet.ServiceID][]Held)}
 	for id, s := range o.services {
 		var spans []Held
-		for _, p := range s.pieces {
-			h := Held{Span: p.Span}
-			if p.state == held {
-				h.Holder = p.holder
+		for _, sh := range s.shards {
+			h := Held{Span: sh.Span}
+			if sh.state == stateHeld {
+				h.Holder = sh.holder
 			}
 			spans = appendHeld(spans, h)
 		}
@@ -313,27 +317,28 @@
 	return m, true
 }
 
-// Heat returns the load counter of a service, or nil.
-func (o *Owner) Heat(id fleet.ServiceID) *Heat {
+// Heat returns the load counter of a service, or nil if the service is unknown.
+func (o *Owner) Heat(id fleet.ServiceID) *LoadCounter {
 	if s := o.services[id]; s != nil {
-		return s.heat
+		return s.keyLoad
 	}
 	return nil
 }
 
-// Stats describes the pieces of a service for logs and metrics.
-type Stats struct{ Pieces, Held, Moving int }
+// Stats contains the numbers of shards of all services: in total, with a confirmed
+// holder, and in a move or without a confirmed holder.
+type Stats struct{ Shards, Held, Moving int }
 
-// Stats returns the number of pieces by state.
+// Stats counts the shards of all services by state.
 func (o *Owner) Stats() Stats {
 	var st Stats
 	for _, s := range o.services {
-		for _, p := range s.pieces {
-			st.Pieces++
-			if p.state == held {
+		for _, sh := range s.shards {
+			st.Shards++
+			if sh.state == stateHeld {
 				st.Held++
 			}
-			if p.next != nil || p.state != held {
+			if sh.next != nil || sh.state != stateHeld {
 				st.Moving++
 			}
 		}
--- a/internal/keyspace/keyspace_test.go
+++ b/internal/keyspace/keyspace_test.go
@@ -17,31 +17,33 @@
 	timing = Timing{Hold: 5 * time.Second, Renew: time.Second, Retry: 300 * time.Millisecond}
 )
 
-// holders carries out calls like upstreams do: it keeps the end of the hold and the
-// highest fence of every key, and fails the test when two upstreams hold a key.
-type holders struct {
-	t     *testing.T
-	until map[fleet.UpstreamID]map[Key]time.Time
-	fence map[fleet.UpstreamID]map[Key]fleet.Fence
-	dark  map[fleet.UpstreamID]bool
-	boot  map[fleet.UpstreamID]fleet.BootID // of those that restarted
+// fakeUpstreams executes calls as upstreams do. It keeps the expiry of the grant and
+// the highest fencing token of every key at each upstream, and fails the test when two
+// upstreams hold the same key.
+type fakeUpstreams struct {
+	t         *testing.T
+	holdEnds  map[fleet.UpstreamID]map[Key]time.Time
+	fences    map[fleet.UpstreamID]map[Key]fleet.Fence
+	silent    map[fleet.UpstreamID]bool
+	restarted map[fleet.UpstreamID]fleet.BootID // by restarted upstream
 }
 
-func newHolders(t *testing.T) *holders {
-	return &holders{
-		t: t, until: make(map[fleet.UpstreamID]map[Key]time.Time),
-		fence: make(map[fleet.UpstreamID]map[Key]fleet.Fence), dark: make(map[fleet.UpstreamID]bool), boot: make(map[fleet.UpstreamID]fleet.BootID),
+func newFakeUpstreams(t *testing.T) *fakeUpstreams {
+	return &fakeUpstreams{
+		t: t, holdEnds: make(map[fleet.UpstreamID]map[Key]time.Time),
+		fences: make(map[fleet.UpstreamID]map[Key]fleet.Fence), silent: make(map[fleet.UpstreamID]bool), restarted: make(map[fleet.UpstreamID]fleet.BootID),
 	}
 }
 
-// sampled are the keys that the test follows; a full table would be slow.
-const sampled = 64
+// sampleStep is the distance between the keys that fakeUpstreams tracks; tracking all
+// keys would be slow.
+const sampleStep = 64
 
-func (h *holders) carryOut(now time.Time, c Call) Result {
+func (h *fakeUpstreams) answer(now time.Time, c Call) Result {
 	switch {
-	case h.dark[c.Upstream]:
+	case h.silent[c.Upstream]:
 		return NoAnswer
-	case h.boot[c.Upstream] != "" && h.boot[c.Upstream] != c.Boot:
+	case h.restarted[c.Upstream] != "" && h.restarted[c.Upstream] != c.Boot:
 		return NotSent
 	case c.Service != archive:
 		return Done
@@ -49,39 +51,40 @@
 	return h.apply(now, now, c)
 }
 
-// apply carries out c, which arrived at the given time.
-func (h *holders) apply(now, arrived time.Time, c Call) Result {
-	if h.until[c.Upstream] == nil {
-		h.until[c.Upstream], h.fence[c.Upstream] = make(map[Key]time.Time), make(map[Key]fleet.Fence)
+// apply executes c, which reached the upstream at the given time.
+func (h *fakeUpstreams) apply(now, arrived time.Time, c Call) Result {
+	if h.holdEnds[c.Upstream] == nil {
+		h.holdEnds[c.Upstream], h.fences[c.Upstream] = make(map[Key]time.Time), make(map[Key]fleet.Fence)
 	}
-	until, fence := h.until[c.Upstream], h.fence[c.Upstream]
-	for k := int(c.From) / sampled * sampled; k <= int(c.To); k += sampled {
+	until, fence := h.holdEnds[c.Upstream], h.fences[c.Upstream]
+	for k := int(c.From) / sampleStep * sampleStep; k <= int(c.To); k += sampleStep {
 		if k >= int(c.From) && !c.Release && fence[Key(k)] > c.Fence {
 			return Conflict
 		}
 	}
-	for k := int(c.From) / sampled * sampled; k <= int(c.To); k += sampled {
+	for k := int(c.From) / sampleStep * sampleStep; k <= int(c.To); k += sampleStep {
 		key := Key(k)
 		if k < int(c.From) {
 			continue
 		}
-		if c.Release { // the platform does not say that its fence counts as seen
+		if c.Release { // upstreams need not remember the fencing token of a release
 			until[key] = time.Time{}
 			continue
 		}
 		fence[key] = max(fence[key], c.Fence)
 		until[key] = arrived.Add(c.Hold)
-		for other, theirs := range h.until {
-			if other != c.Upstream && now.Before(theirs[key]) {
-				h.t.Fatalf("%v: %s is granted key %d, which %s holds for %v", now.Sub(start), c.Upstream, key, other, theirs[key].Sub(now))
+		for other, otherEnds := range h.holdEnds {
+			if other != c.Upstream && now.Before(otherEnds[key]) {
+				h.t.Fatalf("%v after the start: %s was granted key %d, which %s holds for another %v", now.Sub(start), c.Upstream, key, other, otherEnds[key].Sub(now))
 			}
 		}
 	}
 	return Done
 }
 
-// run drives o for d; each record is stored at once. It returns the last record.
-func run(o *Owner, h *holders, now *time.Time, d time.Duration) Record {
+// run executes the plans and calls of o for the time d and stores each record at once.
+// It returns the last record.
+func run(o *Owner, h *fakeUpstreams, now *time.Time, d time.Duration) Record {
 	var last Record
 	for end := now.Add(d); now.Before(end); *now = now.Add(50 * time.Millisecond) {
 		o.Plan(*now)
@@ -90,13 +93,13 @@
 			stored()
 		}
 		for _, c := range o.Calls(*now) {
-			o.Ended(*now, c, h.carryOut(*now, c), "warm")
+			o.Ended(*now, c, h.answer(*now, c), "warm")
 		}
 	}
 	return last
 }
 
-func ready(ids ...fleet.UpstreamID) []Upstream {
+func usableUpstreams(ids ...fleet.UpstreamID) []Upstream {
 	var list []Upstream
 	for _, id := range ids {
 		list = append(list, Upstream{ID: id, Boot: "1", Usable: true, Capacity: 20})
@@ -104,7 +107,7 @@
 	return list
 }
 
-// Guards against the search for a holder that finds only the first key of a span.
+// Guards against a lookup that finds the holder only for the first key of a span.
 func TestHolderInsideSpan(t *testing.T) {
 	m := Map{Services: map[fleet.ServiceID][]Held{archive: {
 		{Span{0, 9}, "a"}, {Span{10, 10}, "b"}, {Span{11, maxKey}, "c"},
@@ -117,11 +120,11 @@
 }
 
 // Guards against keys without a holder, and against load that stays on one
-// upstream when a few keys become busy.
-func TestBusyKeysAreDivided(t *testing.T) {
+// upstream after a few neighbouring keys have become busy.
+func TestBusyKeysAreSpread(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	o.SetUpstreams(now, archive, ready("a", "b", "c"))
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 	run(o, h, &now, 3*time.Second)
 	for range 80 {
 		for k := range Key(60) {
@@ -140,11 +143,11 @@
 }
 
 // Guards against a single busy key that stays on an upstream which is too slow for
-// it, because no part of the load evens the two out.
+// it. No part of that load could be moved to make the utilisations equal.
 func TestHotKeyGoesToFastUpstream(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	list := ready("a", "b", "c")
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	list := usableUpstreams("a", "b", "c")
 	list[0].Capacity, list[1].Capacity, list[2].Capacity = 14, 14, 32
 	list[0].Speed, list[1].Speed, list[2].Speed = 0.7, 0.7, 1.6
 	o.SetUpstreams(now, archive, list)
@@ -160,14 +163,15 @@
 	}
 }
 
-// Guards against a key that two upstreams hold when the second of two leaders in a
-// row stores the record of a move that the first had planned but not carried out.
+// Guards against a key that two upstreams hold after two changes of the leader during a
+// move: the first leader stored the move without executing it, and the second stores a
+// record of its own before the former holder's grants have expired.
 func TestMoveSurvivesTwoLeaders(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	o.SetUpstreams(now, archive, ready("a", "b"))
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, h, &now, 3*time.Second)
-	// The first leader plans that everything goes to b, stores it and ends.
+	// The first leader plans to move all keys to b, stores the record and stops.
 	o.SetUpstreams(now, archive, []Upstream{{ID: "a", Boot: "1", Capacity: 20}, {ID: "b", Boot: "1", Usable: true, Capacity: 20}})
 	o.Plan(now)
 	rec, _, changed := o.Save(now)
@@ -177,26 +181,26 @@
 	for term := uint64(2); term <= 3; term++ {
 		now = now.Add(500 * time.Millisecond)
 		o = NewOwner(now, term, timing, rec)
-		o.SetUpstreams(now, archive, ready("a", "b", "c"))
-		o.SetUpstreams(now, "other", ready("x")) // gives the second leader something to store
+		o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
+		o.SetUpstreams(now, "other", usableUpstreams("x")) // makes the second leader store a record
 		if next := run(o, h, &now, 1500*time.Millisecond); next.Services != nil {
 			rec = next
 		}
 	}
 	run(o, h, &now, 10*time.Second)
-	if st := o.Stats(); st.Held != st.Pieces {
-		t.Errorf("pieces: %+v", st)
+	if st := o.Stats(); st.Held != st.Shards {
+		t.Errorf("not all shards are held: %+v", st)
 	}
 }
 
-// Guards against keys of a silent upstream that are given away before its hold has
-// run out, and against those that are never given away.
-func TestSilentHolder(t *testing.T) {
+// Guards against keys of a silent upstream that are granted to another one before its
+// grants have expired, and against keys that no other upstream ever gets.
+func TestSilentHolderLosesKeys(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	o.SetUpstreams(now, archive, ready("a", "b", "c"))
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 	run(o, h, &now, 3*time.Second)
-	h.dark["a"] = true
+	h.silent["a"] = true
 	run(o, h, &now, 8*time.Second)
 	m, _ := o.Map()
 	for _, s := range m.Services[archive] {
@@ -206,11 +210,12 @@
 	}
 }
 
-// Guards against a renewal on its way that takes keys back after their release.
+// Guards against a renewal that arrives late and makes the former holder take the keys
+// again after their release.
 func TestLateRenewalIsRefused(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	o.SetUpstreams(now, archive, ready("a", "b"))
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, h, &now, 3*time.Second)
 	var late []Call
 	for len(late) == 0 {
@@ -221,7 +226,7 @@
 				o.Ended(now, c, NoAnswer, "")
 				continue
 			}
-			o.Ended(now, c, h.carryOut(now, c), "")
+			o.Ended(now, c, h.answer(now, c), "")
 		}
 	}
 	o.SetUpstreams(now, archive, []Upstream{{ID: "a", Boot: "1", Capacity: 20}, {ID: "b", Boot: "1", Usable: true, Capacity: 20}})
@@ -234,45 +239,47 @@
 	}
 }
 
-// Guards against a restarted upstream whose keys wait for a hold that ended with
-// its process.
-func TestRestartedHolder(t *testing.T) {
+// Guards against a wait for the grants of a restarted upstream, which ended with its
+// process.
+func TestRestartedHolderIsReplacedAtOnce(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	o.SetUpstreams(now, archive, ready("a", "b"))
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, h, &now, 3*time.Second)
-	delete(h.until, "a")
-	h.boot["a"] = "2"
-	again := ready("a", "b")
-	again[0].Boot, again[0].Cold = "2", true
-	o.SetUpstreams(now, archive, again)
+	delete(h.holdEnds, "a")
+	h.restarted["a"] = "2"
+	list := usableUpstreams("a", "b")
+	list[0].Boot, list[0].Cold = "2", true
+	o.SetUpstreams(now, archive, list)
 	run(o, h, &now, 300*time.Millisecond)
-	if st := o.Stats(); st.Held != st.Pieces {
-		t.Errorf("pieces: %+v", st)
+	if st := o.Stats(); st.Held != st.Shards {
+		t.Errorf("not all shards are held: %+v", st)
 	}
 }
 
-// Guards against keys that are given away at once because their holder has restarted,
-// although it was granted them again before the restart was known.
-func TestRestartNoticedLate(t *testing.T) {
+// Guards against keys that are granted to another upstream at once because their holder
+// has restarted, although grants had reached the new process before the leader learned
+// of the restart.
+func TestRestartLearnedAfterGrants(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	o.SetUpstreams(now, archive, ready("a", "b"))
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, h, &now, 3*time.Second)
-	delete(h.until, "a")
-	delete(h.fence, "a")
+	delete(h.holdEnds, "a")
+	delete(h.fences, "a")
 	run(o, h, &now, 2*time.Second) // renewals reach the new process
-	h.boot["a"] = "2"
-	again := ready("a", "b")
-	again[0].Boot, again[0].Cold = "2", true
-	o.SetUpstreams(now, archive, again)
+	h.restarted["a"] = "2"
+	list := usableUpstreams("a", "b")
+	list[0].Boot, list[0].Cold = "2", true
+	o.SetUpstreams(now, archive, list)
 	run(o, h, &now, 2*time.Second)
-	if st := o.Stats(); st.Held != st.Pieces {
-		t.Errorf("pieces: %+v", st)
+	if st := o.Stats(); st.Held != st.Shards {
+		t.Errorf("not all shards are held: %+v", st)
 	}
 }
 
-// Guards against a record that is read back as another one.
+// Guards against a record that changes when it is encoded and decoded, and against
+// invalid records that are accepted.
 func TestRecordRoundTrip(t *testing.T) {
 	rec := Record{NextFence: 7, Services: map[fleet.ServiceID][]RecordPiece{archive: {
 		{Span: Span{0, 99}, Holder: "a", Boot: "1", Fence: 3},
@@ -291,15 +298,15 @@
 		"text":  `{"next-fence":"x"}`,
 	} {
 		if _, err := DecodeRecord([]byte(text)); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: invalid record was accepted", name)
 		}
 	}
 }
 
-// Guards against a map that differs from the leader's after changes were applied.
-func TestDiffAndWith(t *testing.T) {
+// Guards against a map that differs from the leader's after a diff was applied to it.
+func TestWithAppliesDiff(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	draw := func() *Map {
+	randomMap := func() *Map {
 		m := &Map{Services: map[fleet.ServiceID][]Held{}}
 		next := 0
 		for next < Keys {
@@ -311,29 +318,29 @@
 		return m
 	}
 	for range 500 {
-		old, m := draw(), draw()
+		old, m := randomMap(), randomMap()
 		if diff := cmp.Diff(m.Services, old.With(m.Version, m.Diff(old)).Services); diff != "" {
 			t.Fatal(diff)
 		}
 	}
 }
 
-// Guards against a record for each step of a move: the one before it says who gets the
-// keys, and the one after it only spares the next leader a wait, so that it may come
-// with the record of the next move. It has to come.
+// Guards against an additional record for each move. The record before a move names the
+// next holder. The one after it only spares a new leader a wait, and may be combined with
+// the record of the next move, but must not be omitted.
 func TestMoveIsRecordedOnce(t *testing.T) {
 	const (
-		told = 700 * time.Millisecond // after the last decision at most
-		gap  = 200 * time.Millisecond
-		step = 10 * time.Millisecond
+		recordDeadline = 700 * time.Millisecond // after the last decision
+		moveTime       = 200 * time.Millisecond
+		step           = 10 * time.Millisecond
 	)
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
-	o.SetUpstreams(now, archive, ready("a", "b", "c"))
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 	run(o, h, &now, 3*time.Second)
 	records := 0
 	var last Record
-	during := func(d time.Duration) {
+	carryOutCalls := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(step) {
 			if rec, stored, changed := o.Save(now); changed {
 				records++
@@ -341,25 +348,25 @@
 				stored()
 			}
 			for _, c := range o.Calls(now) {
-				o.Ended(now, c, h.carryOut(now, c), "warm")
+				o.Ended(now, c, h.answer(now, c), "warm")
 			}
 		}
 	}
-	o.SetUpstreams(now, archive, ready("a", "b"))
+	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	o.Plan(now)
-	during(gap)
+	carryOutCalls(moveTime)
 	if moving := o.Stats().Moving; moving != 0 {
-		t.Fatalf("%d pieces still move after %v", moving, gap)
+		t.Fatalf("%d shards still move after %v", moving, moveTime)
 	}
-	o.SetUpstreams(now, archive, ready("a"))
+	o.SetUpstreams(now, archive, usableUpstreams("a"))
 	o.Plan(now)
-	during(told)
+	carryOutCalls(recordDeadline)
 	if records != 3 {
-		t.Errorf("%d records of two moves, want 3", records)
+		t.Errorf("%d records for two moves, want 3", records)
 	}
 	for _, p := range last.Services[archive] {
 		if p.Moving || p.Holder != "a" {
-			t.Errorf("the last record says %+v, want a piece of a", p)
+			t.Errorf("the last record contains %+v, want shards held by a only", p)
 		}
 	}
 }
--- a/internal/keyspace/plan.go
+++ b/internal/keyspace/plan.go
@@ -9,89 +9,93 @@
 )
 
 const (
-	// settle is how long a leader waits for a further upstream to register before it
-	// divides the keys of a service for the first time, and maxSettle how long it waits
-	// for all of them: they register over a heartbeat, and one that comes later gets
-	// keys only once others have load.
-	settle    = 1200 * time.Millisecond
-	maxSettle = 4 * time.Second
-	// leastMoves is the number of pieces of a service that may move for the sake of
-	// balance at the same time; with many upstreams it is one for upstreamsPerMove of
-	// them. A move takes about a second, and with 6 at a time 25 of 132 upstreams were
-	// overloaded for 6 s on end.
-	leastMoves       = 6
-	upstreamsPerMove = 3
-	// busyEnough is the utilisation below which an upstream keeps its keys: each move
-	// interrupts its keys, and requests hardly wait there.
-	busyEnough = 0.5
-	// imbalance is the difference in utilisation between the busiest and the idlest
-	// upstream below which nothing moves.
-	imbalance = 0.2
-	// surgeDeviations is how many standard deviations above the slow count the fast
-	// one must be to count as a surge.
+	// registrationQuietTime is how long no further upstream must have registered before a
+	// leader assigns the keys of a service for the first time, and maxRegistrationWait the
+	// longest time that it waits after the first registration. Upstreams register in the
+	// course of a heartbeat interval, and one that registers after the assignment gets
+	// keys only once the others have load.
+	registrationQuietTime = 1200 * time.Millisecond
+	maxRegistrationWait   = 4 * time.Second
+	// minConcurrentMoves is the number of shards of a service that may move at the same
+	// time to balance load. If it has many upstreams, one shard for each upstreamsPerMove
+	// of them may move. A move takes about 1 s: with 6 concurrent moves, 25 of 132
+	// upstreams stayed overloaded for 6 s.
+	minConcurrentMoves = 6
+	upstreamsPerMove   = 3
+	// minBusyUtilisation is the utilisation (a share of the capacity) below which an
+	// upstream keeps its keys: requests hardly queue there, and each move interrupts the
+	// keys that move.
+	minBusyUtilisation = 0.5
+	// minImbalance is the difference in utilisation between the most and the least
+	// utilised upstream below which no key moves.
+	minImbalance = 0.2
+	// surgeDeviations is the number of standard deviations by which the fast estimate of
+	// an upstream's load must exceed the slow one to count as a surge.
 	surgeDeviations = 2.5
-	// speedPreference is the power of an upstream's speed that its capacity is weighed
-	// with when its service is idle.
-	speedPreference = 1.3
-	// hotKey is the part of an upstream's capacity from which on one key is placed by
-	// itself.
-	hotKey = 0.25
-	// emptyImbalance replaces both for an upstream without any keys.
-	emptyImbalance = 0.05
-	// coldCapacity is the part of its capacity that a cold upstream is planned with.
-	coldCapacity = 0.05
+	// speedExponent determines how much speed counts: at an idle service, the capacity of
+	// an upstream is multiplied by its relative speed to the power of speedExponent.
+	speedExponent = 1.3
+	// hotKeyShare is the share of an upstream's capacity from which on the load of a
+	// single key is placed separately.
+	hotKeyShare = 0.25
+	// minImbalanceToEmpty replaces minBusyUtilisation and minImbalance if the least
+	// utilised upstream has no keys.
+	minImbalanceToEmpty = 0.05
+	// coldCapacityShare is the share of its capacity that a cold upstream is planned with.
+	coldCapacityShare = 0.05
 )
 
-// SetUpstreams replaces the candidates of a service.
+// SetUpstreams replaces the candidates for the keys of a service.
 func (o *Owner) SetUpstreams(now time.Time, id fleet.ServiceID, list []Upstream) {
 	s := o.services[id]
 	if s == nil {
-		s = &service{id: id, heat: NewHeat()}
+		s = &service{id: id, keyLoad: NewLoadCounter()}
 		o.services[id] = s
 	}
-	if s.first.IsZero() && len(list) > 0 {
-		s.first = now
+	if s.firstSeen.IsZero() && len(list) > 0 {
+		s.firstSeen = now
 	}
 	for _, u := range list {
 		if _, known := s.upstreams[u.ID]; !known {
-			s.latest = now
+			s.lastJoined = now
 		}
 	}
 	s.upstreams = make(map[fleet.UpstreamID]Upstream, len(list))
-	s.order = s.order[:0]
+	s.sortedIDs = s.sortedIDs[:0]
 	for _, u := range list {
 		s.upstreams[u.ID] = u
-		s.order = append(s.order, u.ID)
+		s.sortedIDs = append(s.sortedIDs, u.ID)
 	}
-	slices.Sort(s.order)
+	slices.Sort(s.sortedIDs)
 }
 
-// Plan decides on moves.
+// Plan updates the load estimates and decides which shards move to which upstreams.
 func (o *Owner) Plan(now time.Time) {
 	for _, s := range o.services {
-		if !s.decayed.IsZero() {
-			s.heat.Decay(now.Sub(s.decayed))
+		if !s.lastDecay.IsZero() {
+			s.keyLoad.Decay(now.Sub(s.lastDecay))
 		}
-		s.decayed = now
-		s.heat.Surge(s.surges())
-		if len(s.pieces) == 0 {
-			o.divide(now, s)
+		s.lastDecay = now
+		s.keyLoad.SetSurging(s.hasSurge())
+		if len(s.shards) == 0 {
+			o.assignInitial(now, s)
 			continue
 		}
 		load := s.load()
-		o.replace(now, s, load)
-		if evened {
-			o.balance(now, s, load)
+		o.replaceHolders(now, s, load)
+		if balanceByLoad {
+			o.rebalance(now, s, load)
 		}
 	}
 }
 
-// usable returns the candidates that may hold keys, warm ones if there are any.
+// usable returns the reachable candidates that may be sent requests. It leaves out the
+// cold ones unless all are cold.
 func (o *Owner) usable(now time.Time, s *service) []Upstream {
 	var warm, cold []Upstream
-	for _, id := range s.order {
+	for _, id := range s.sortedIDs {
 		switch u := s.upstreams[id]; {
-		case !u.Usable || o.contacts[id].unreachable(now):
+		case !u.Usable || o.reachability[id].unreachable(now):
 		case u.Cold:
 			cold = append(cold, u)
 		default:
@@ -101,29 +105,31 @@
 	if len(warm) == 0 {
 		return cold
 	}
-	return s.preferFast(warm)
+	return s.weighBySpeed(warm)
 }
 
-// preferFast weighs capacities by speed while the service has room: requests are
-// then served sooner than with an even utilisation.
-func (s *service) preferFast(list []Upstream) []Upstream {
+// weighBySpeed raises the capacity of fast upstreams and lowers that of slow ones,
+// more so the less the service is utilised. At low load this serves requests sooner
+// than equal utilisation does.
+func (s *service) weighBySpeed(list []Upstream) []Upstream {
 	capacity := 0.0
 	for _, u := range list {
 		capacity += u.Capacity
 	}
-	room := max(0, 1-s.heat.Rate(Span{0, maxKey})/capacity)
+	idleShare := max(0, 1-s.keyLoad.Rate(Span{0, maxKey})/capacity)
 	for i, u := range list {
 		if u.Speed > 0 {
-			list[i].Capacity *= math.Pow(u.Speed, speedPreference*room)
+			list[i].Capacity *= math.Pow(u.Speed, speedExponent*idleShare)
 		}
 	}
 	return list
 }
 
-// divide gives each upstream a span by its capacity.
-func (o *Owner) divide(now time.Time, s *service) {
+// assignInitial divides the keys of a service among its candidates in proportion to
+// their capacities.
+func (o *Owner) assignInitial(now time.Time, s *service) {
 	candidates := o.usable(now, s)
-	if len(candidates) == 0 || now.Sub(s.latest) < settle && now.Sub(s.first) < maxSettle {
+	if len(candidates) == 0 || now.Sub(s.lastJoined) < registrationQuietTime && now.Sub(s.firstSeen) < maxRegistrationWait {
 		return
 	}
 	total := 0.0
@@ -140,69 +146,70 @@
 		if to <= from {
 			continue
 		}
-		s.pieces = append(s.pieces, &piece{
-			Span: Span{Key(from), Key(to - 1)}, holder: u.ID, boot: u.Boot, fence: o.takeFence(), state: granting, due: now,
+		s.shards = append(s.shards, &shard{
+			Span: Span{Key(from), Key(to - 1)}, holder: u.ID, boot: u.Boot, fence: o.allocateFence(), state: stateGranting, nextCall: now,
 		})
 		from = to
 	}
-	o.dirty, o.changed = true, true
+	o.recordDirty, o.mapChanged = true, true
 }
 
-func (o *Owner) takeFence() fleet.Fence {
+func (o *Owner) allocateFence() fleet.Fence {
 	f := o.nextFence
 	o.nextFence++
 	return f
 }
 
-// load returns the requests a second that each upstream gets once all moves are
-// done.
+// load returns the requests per second of each upstream once all planned moves are
+// complete.
 func (s *service) load() map[fleet.UpstreamID]float64 {
 	load := make(map[fleet.UpstreamID]float64)
-	for _, p := range s.pieces {
-		load[p.goesTo()] += s.heat.Rate(p.Span)
+	for _, sh := range s.shards {
+		load[sh.plannedHolder()] += s.keyLoad.Rate(sh.Span)
 	}
 	return load
 }
 
-func (p *piece) goesTo() fleet.UpstreamID {
-	if p.next != nil {
-		return p.next.holder
+func (sh *shard) plannedHolder() fleet.UpstreamID {
+	if sh.next != nil {
+		return sh.next.holder
 	}
-	return p.holder
+	return sh.holder
 }
 
-// surges reports whether an upstream has become busy so suddenly that the slow
-// count does not show it yet, and by more than chance.
-func (s *service) surges() bool {
+// hasSurge reports whether the load of an upstream has risen so suddenly that the slow
+// estimate does not show it yet, by more than random variation explains.
+func (s *service) hasSurge() bool {
 	slow, fast := make(map[fleet.UpstreamID]float64), make(map[fleet.UpstreamID]float64)
-	for _, p := range s.pieces {
-		a, b := s.heat.Rates(p.Span)
-		slow[p.goesTo()] += a
-		fast[p.goesTo()] += b
+	for _, sh := range s.shards {
+		slowRate, fastRate := s.keyLoad.Rates(sh.Span)
+		slow[sh.plannedHolder()] += slowRate
+		fast[sh.plannedHolder()] += fastRate
 	}
 	for id, rate := range fast {
 		u, known := s.upstreams[id]
-		chance := math.Sqrt(max(slow[id], 1) * s.heat.fast.factor() / 2)
-		if known && rate > busyEnough*u.Capacity && rate > slow[id]+surgeDeviations*chance {
+		deviation := math.Sqrt(max(slow[id], 1) * s.keyLoad.fast.ratePerCount() / 2)
+		if known && rate > minBusyUtilisation*u.Capacity && rate > slow[id]+surgeDeviations*deviation {
 			return true
 		}
 	}
 	return false
 }
 
-// lost reports whether p needs another holder.
-func (o *Owner) lost(now time.Time, s *service, p *piece) bool {
-	u, known := s.upstreams[p.goesTo()]
-	boot := p.boot
-	if p.next != nil {
-		boot = p.next.boot
-	}
-	return !known || !u.Usable || u.Boot != boot || o.contacts[p.goesTo()].unreachable(now) || p.next == nil && p.failures >= refusedAfter
+// needsHolder reports whether sh must be assigned to another holder, or again to the
+// same one after a restart or failed grants.
+func (o *Owner) needsHolder(now time.Time, s *service, sh *shard) bool {
+	u, known := s.upstreams[sh.plannedHolder()]
+	boot := sh.boot
+	if sh.next != nil {
+		boot = sh.next.boot
+	}
+	return !known || !u.Usable || u.Boot != boot || o.reachability[sh.plannedHolder()].unreachable(now) || sh.next == nil && sh.failures >= maxGrantFailures
 }
 
-// replace finds other holders for the pieces of upstreams that are leaving or
-// lost. A piece with much load is divided among several.
-func (o *Owner) replace(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
+// replaceHolders assigns the shards of upstreams that are leaving or lost to others. It
+// splits a shard with much load so that several upstreams share it.
+func (o *Owner) replaceHolders(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
 	candidates := o.usable(now, s)
 	if len(candidates) == 0 {
 		return
@@ -214,126 +221,127 @@
 	for _, u := range candidates {
 		capacity += u.Capacity
 	}
-	for i := 0; i < len(s.pieces); i++ {
-		p := s.pieces[i]
-		if p.calling || !o.lost(now, s, p) || p.next != nil && p.stored && p.state != held {
+	for i := 0; i < len(s.shards); i++ {
+		sh := s.shards[i]
+		if sh.callPending || !o.needsHolder(now, s, sh) || sh.next != nil && sh.recorded && sh.state != stateHeld {
 			continue
 		}
-		if p.next != nil && p.stored {
+		if sh.next != nil && sh.recorded {
 			continue
 		}
-		rate := s.heat.Rate(p.Span)
-		share := total / capacity * candidates[0].Capacity / 2
-		if head, _, ok := s.heat.Prefix(p.Span, share); ok && rate > share && head.To < p.To {
-			s.split(i, head.To)
-			rate = s.heat.Rate(p.Span)
+		rate := s.keyLoad.Rate(sh.Span)
+		maxRate := total / capacity * candidates[0].Capacity / 2
+		if prefix, _, ok := s.keyLoad.Prefix(sh.Span, maxRate); ok && rate > maxRate && prefix.To < sh.To {
+			s.split(i, prefix.To)
+			rate = s.keyLoad.Rate(sh.Span)
 		}
-		u, ok := idlest(candidates, load, p.goesTo(), s, p)
+		u, ok := leastUtilised(candidates, load, sh.plannedHolder(), s, sh)
 		if !ok {
 			continue
 		}
-		load[p.goesTo()] -= rate
+		load[sh.plannedHolder()] -= rate
 		load[u.ID] += rate
-		o.move(now, s, p, u, "holder-lost")
+		o.planMove(now, s, sh, u, "holder-lost")
 	}
 }
 
-// idlest returns the candidate with the least utilisation. A piece whose holder
-// failed is not planned for that holder again while there is another.
-func idlest(candidates []Upstream, load map[fleet.UpstreamID]float64, not fleet.UpstreamID, s *service, p *piece) (Upstream, bool) {
+// leastUtilised returns the candidate with the lowest utilisation. It skips except, the
+// holder that sh is taken from, if there are others and that holder has not restarted.
+func leastUtilised(candidates []Upstream, load map[fleet.UpstreamID]float64, except fleet.UpstreamID, s *service, sh *shard) (Upstream, bool) {
 	best, found := Upstream{}, false
 	for _, u := range candidates {
-		if u.ID == not && len(candidates) > 1 && s.upstreams[not].Boot == p.boot {
+		if u.ID == except && len(candidates) > 1 && s.upstreams[except].Boot == sh.boot {
 			continue
 		}
-		if !found || load[u.ID]/u.capacity() < load[best.ID]/best.capacity() {
+		if !found || load[u.ID]/u.plannedCapacity() < load[best.ID]/best.plannedCapacity() {
 			best, found = u, true
 		}
 	}
 	return best, found
 }
 
-func (u Upstream) capacity() float64 {
+func (u Upstream) plannedCapacity() float64 {
 	if u.Cold {
-		return u.Capacity * coldCapacity
+		return u.Capacity * coldCapacityShare
 	}
 	return u.Capacity
 }
 
-// move plans that p goes to u.
-func (o *Owner) move(now time.Time, s *service, p *piece, u Upstream, cause string) {
-	o.moves = append(o.moves, Move{Service: s.id, Span: p.Span, From: p.goesTo(), To: u.ID, Cause: cause, Rate: s.heat.Rate(p.Span)})
-	o.dirty = true
-	p.stored = false
-	p.due = now
-	if p.state == granting && !p.everServed && p.maxHold.IsZero() && !p.calling {
-		// Nobody was granted it yet.
-		p.holder, p.boot, p.fence, p.next, p.failures = u.ID, u.Boot, o.takeFence(), nil, 0
+// planMove plans the move of sh to u.
+func (o *Owner) planMove(now time.Time, s *service, sh *shard, u Upstream, cause string) {
+	o.moves = append(o.moves, Move{Service: s.id, Span: sh.Span, From: sh.plannedHolder(), To: u.ID, Cause: cause, Rate: s.keyLoad.Rate(sh.Span)})
+	o.recordDirty = true
+	sh.recorded = false
+	sh.nextCall = now
+	if sh.state == stateGranting && !sh.everGranted && sh.latestHoldEnd.IsZero() && !sh.callPending {
+		// No grant was sent, so that no release is needed.
+		sh.holder, sh.boot, sh.fence, sh.next, sh.failures = u.ID, u.Boot, o.allocateFence(), nil, 0
 		return
 	}
-	p.next = &target{holder: u.ID, boot: u.Boot, bump: o.nextFence}
-	o.nextFence += maxBumps
-	p.next.fence = o.takeFence()
-	if cur, known := s.upstreams[p.holder]; known && cur.Boot != p.boot && p.state == held {
-		o.changed = true
-		p.state = waiting
+	sh.next = &transfer{holder: u.ID, boot: u.Boot, raisedFence: o.nextFence}
+	o.nextFence += maxFenceRaises
+	sh.next.fence = o.allocateFence()
+	if cur, known := s.upstreams[sh.holder]; known && cur.Boot != sh.boot && sh.state == stateHeld {
+		o.mapChanged = true
+		sh.state = stateWaiting
 	}
 }
 
-// Move is a decision of the plan.
+// Move is a decision of Plan to move a span.
 type Move struct {
 	Service fleet.ServiceID
 	Span
 	From, To fleet.UpstreamID
 	Cause    string
-	Rate     float64 // requests a second
+	Rate     float64 // requests per second
 }
 
-// Moves returns the decisions since the last call.
+// Moves returns the moves that were decided since the last call.
 func (o *Owner) Moves() []Move {
 	moves := o.moves
 	o.moves = nil
 	return moves
 }
 
-// split divides the i-th piece after key at. Both parts keep its holder.
-func (s *service) split(i int, at Key) *piece {
-	p := s.pieces[i]
-	tail := *p
+// split divides the shard with index i after key at and returns the second part. Both
+// parts keep the holder.
+func (s *service) split(i int, at Key) *shard {
+	sh := s.shards[i]
+	tail := *sh
 	tail.From = at + 1
-	p.To = at
-	s.pieces = slices.Insert(s.pieces, i+1, &tail)
+	sh.To = at
+	s.shards = slices.Insert(s.shards, i+1, &tail)
 	return &tail
 }
 
-// balance moves load from the busiest to the idlest upstreams.
-func (o *Owner) balance(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
+// rebalance moves load from the most to the least utilised upstreams.
+func (o *Owner) rebalance(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
 	moving := 0
-	for _, p := range s.pieces {
-		if p.next != nil || p.state != held {
+	for _, sh := range s.shards {
+		if sh.next != nil || sh.state != stateHeld {
 			moving++
 		}
 	}
 	candidates := o.usable(now, s)
-	most := max(leastMoves, len(candidates)/upstreamsPerMove)
-	for ; moving < most && len(candidates) > 1; moving++ {
+	maxMoving := max(minConcurrentMoves, len(candidates)/upstreamsPerMove)
+	for ; moving < maxMoving && len(candidates) > 1; moving++ {
 		slices.SortStableFunc(candidates, func(a, b Upstream) int {
-			return cmpFloat(load[a.ID]/a.capacity(), load[b.ID]/b.capacity())
+			return compareFloats(load[a.ID]/a.plannedCapacity(), load[b.ID]/b.plannedCapacity())
 		})
-		idle := candidates[0]
+		leastBusy := candidates[0]
 		moved := false
 		for i := len(candidates) - 1; i > 0 && !moved; i-- {
-			busy := candidates[i]
-			used, least := load[busy.ID]/busy.capacity(), imbalance
-			if _, holds := load[idle.ID]; !holds {
-				least = emptyImbalance
-			} else if used < busyEnough {
+			source := candidates[i]
+			utilisation, minDifference := load[source.ID]/source.plannedCapacity(), minImbalance
+			if _, holds := load[leastBusy.ID]; !holds {
+				minDifference = minImbalanceToEmpty
+			} else if utilisation < minBusyUtilisation {
 				break
 			}
-			if used-load[idle.ID]/idle.capacity() < least {
+			if utilisation-load[leastBusy.ID]/leastBusy.plannedCapacity() < minDifference {
 				break
 			}
-			moved = o.shift(now, s, busy, idle, load) || o.isolate(now, s, busy, candidates, load)
+			moved = o.moveLoad(now, s, source, leastBusy, load) || o.moveHotKey(now, s, source, candidates, load)
 		}
 		if !moved {
 			return
@@ -341,80 +349,83 @@
 	}
 }
 
-// shift moves a part of one piece from busy to idle such that both end up alike.
-func (o *Owner) shift(now time.Time, s *service, busy, idle Upstream, load map[fleet.UpstreamID]float64) bool {
-	want := (load[busy.ID]/busy.capacity() - load[idle.ID]/idle.capacity()) / (1/busy.capacity() + 1/idle.capacity())
+// moveLoad moves a part of one shard between two upstreams, chosen so that both end up
+// with about the same utilisation. It reports whether it found a suitable part.
+func (o *Owner) moveLoad(now time.Time, s *service, from, to Upstream, load map[fleet.UpstreamID]float64) bool {
+	wantedRate := (load[from.ID]/from.plannedCapacity() - load[to.ID]/to.plannedCapacity()) / (1/from.plannedCapacity() + 1/to.plannedCapacity())
 	best, bestRate := -1, 0.0
 	var bestSpan Span
-	for i, p := range s.pieces {
-		if p.holder != busy.ID || p.next != nil || p.state != held || p.calling || !p.stored {
+	for i, sh := range s.shards {
+		if sh.holder != from.ID || sh.next != nil || sh.state != stateHeld || sh.callPending || !sh.recorded {
 			continue
 		}
-		for _, cut := range []func(Span, float64) (Span, float64, bool){s.heat.Prefix, s.heat.Suffix} {
-			span, rate, ok := cut(p.Span, want*1.1)
-			if ok && (rate > bestRate*1.1 || rate > bestRate*0.9 && size(span) < size(bestSpan)) {
+		for _, takeEnd := range []func(Span, float64) (Span, float64, bool){s.keyLoad.Prefix, s.keyLoad.Suffix} {
+			span, rate, ok := takeEnd(sh.Span, wantedRate*1.1)
+			if ok && (rate > bestRate*1.1 || rate > bestRate*0.9 && keyCount(span) < keyCount(bestSpan)) {
 				best, bestRate, bestSpan = i, rate, span
 			}
 		}
 	}
-	if best < 0 || bestRate < want/8 {
+	if best < 0 || bestRate < wantedRate/8 {
 		return false
 	}
-	p := s.cut(best, bestSpan)
-	load[busy.ID] -= bestRate
-	load[idle.ID] += bestRate
-	o.move(now, s, p, idle, "load")
+	sh := s.splitOut(best, bestSpan)
+	load[from.ID] -= bestRate
+	load[to.ID] += bestRate
+	o.planMove(now, s, sh, to, "load")
 	return true
 }
 
-// cut splits the i-th piece such that span is a piece of its own, which it returns.
-func (s *service) cut(i int, span Span) *piece {
-	p := s.pieces[i]
-	if span.To < p.To {
+// splitOut splits the shard with index i so that span becomes a shard of its own, and
+// returns that shard.
+func (s *service) splitOut(i int, span Span) *shard {
+	sh := s.shards[i]
+	if span.To < sh.To {
 		s.split(i, span.To)
 	}
-	if span.From > p.From {
-		p = s.split(i, span.From-1)
+	if span.From > sh.From {
+		sh = s.split(i, span.From-1)
 	}
-	return p
+	return sh
 }
 
-// isolate moves the busiest key of an upstream to where it does the least harm, if
-// that key alone is too much to even out. Its neighbours there move away later.
-func (o *Owner) isolate(now time.Time, s *service, busy Upstream, candidates []Upstream, load map[fleet.UpstreamID]float64) bool {
-	at, key, rate := -1, Key(0), 0.0
-	for i, p := range s.pieces {
-		if p.holder != busy.ID || p.next != nil || p.state != held || p.calling || !p.stored {
+// moveHotKey moves the busiest key of an upstream to the candidate whose utilisation is
+// then lowest, if the load of that key alone is too high for moveLoad. Later calls of
+// rebalance move other keys away from the new holder. It reports whether the key moves.
+func (o *Owner) moveHotKey(now time.Time, s *service, from Upstream, candidates []Upstream, load map[fleet.UpstreamID]float64) bool {
+	index, key, rate := -1, Key(0), 0.0
+	for i, sh := range s.shards {
+		if sh.holder != from.ID || sh.next != nil || sh.state != stateHeld || sh.callPending || !sh.recorded {
 			continue
 		}
-		for k := int(p.From); k <= int(p.To); k++ {
-			if r := s.heat.at(k); r > rate {
-				at, key, rate = i, Key(k), r
+		for k := int(sh.From); k <= int(sh.To); k++ {
+			if r := s.keyLoad.keyRate(k); r > rate {
+				index, key, rate = i, Key(k), r
 			}
 		}
 	}
-	if at < 0 || rate < hotKey*busy.capacity() {
+	if index < 0 || rate < hotKeyShare*from.plannedCapacity() {
 		return false
 	}
-	best, bestUse := busy, load[busy.ID]/busy.capacity()-imbalance
+	best, bestUtilisation := from, load[from.ID]/from.plannedCapacity()-minImbalance
 	for _, u := range candidates {
-		// Half of what it holds besides can move away.
-		if use := (load[u.ID]/2 + rate) / u.capacity(); u.ID != busy.ID && use < bestUse {
-			best, bestUse = u, use
+		// About half of the candidate's other load can move away later.
+		if utilisation := (load[u.ID]/2 + rate) / u.plannedCapacity(); u.ID != from.ID && utilisation < bestUtilisation {
+			best, bestUtilisation = u, utilisation
 		}
 	}
-	if best.ID == busy.ID {
+	if best.ID == from.ID {
 		return false
 	}
-	load[busy.ID] -= rate
+	load[from.ID] -= rate
 	load[best.ID] += rate
-	o.move(now, s, s.cut(at, Span{key, key}), best, "hot-key")
+	o.planMove(now, s, s.splitOut(index, Span{key, key}), best, "hot-key")
 	return true
 }
 
-func size(s Span) int { return int(s.To) - int(s.From) + 1 }
+func keyCount(s Span) int { return int(s.To) - int(s.From) + 1 }
 
-func cmpFloat(a, b float64) int {
+func compareFloats(a, b float64) int {
 	switch {
 	case a < b:
 		return -1
--- a/internal/keyspace/plan_test.go
+++ b/internal/keyspace/plan_test.go
@@ -8,58 +8,60 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Guards against a service with many upstreams that is evened out as slowly as one
-// with few: a fifth of them stayed overloaded for many seconds.
-func TestMovesGrowWithUpstreams(t *testing.T) {
+// Guards against balancing a service with many upstreams as slowly as one with few: with
+// a fixed number of concurrent moves, a fifth of the upstreams stayed overloaded for many
+// seconds.
+func TestConcurrentMovesGrowWithUpstreams(t *testing.T) {
 	const (
-		upstreams = 60
-		busy      = 30 // requests a second for each upstream of the first half; it bears 20
+		upstreams       = 60
+		ratePerUpstream = 30 // requests per second for each upstream of the first half, which has a capacity of 20
 	)
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	var ids []fleet.UpstreamID
 	for i := range upstreams {
 		ids = append(ids, fleet.UpstreamID(fmt.Sprintf("u%02d", i)))
 	}
-	o.SetUpstreams(now, archive, ready(ids...))
+	o.SetUpstreams(now, archive, usableUpstreams(ids...))
 	run(o, h, &now, 3*time.Second)
 	heat := o.Heat(archive)
-	perSecond := int(1 / heat.slow.factor())
-	for i := range busy * upstreams / 2 {
-		for range perSecond {
-			heat.Add(Key(i * Keys / 2 / (busy * upstreams / 2)))
+	countPerRate := int(1 / heat.slow.ratePerCount())
+	for i := range ratePerUpstream * upstreams / 2 {
+		for range countPerRate {
+			heat.Add(Key(i * Keys / 2 / (ratePerUpstream * upstreams / 2)))
 		}
 	}
 	o.Plan(now)
 	if got, want := o.Stats().Moving, upstreams/upstreamsPerMove; got < want {
-		t.Errorf("%d pieces move at the same time, want %d", got, want)
+		t.Errorf("%d shards move at the same time, want at least %d", got, want)
 	}
 }
 
-// Guards against keys that are divided among the upstreams that registered first:
-// without load the others get none, and half of a fleet met the first requests.
-func TestDividesAmongAll(t *testing.T) {
+// Guards against keys that are assigned only to the upstreams that registered first.
+// Without load the others get none, so that half of the fleet had to serve all of the
+// first requests.
+func TestInitialAssignmentUsesAllUpstreams(t *testing.T) {
 	const (
 		upstreams = 60
 		heartbeat = 2500 * time.Millisecond
 		listEvery = 500 * time.Millisecond
 	)
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newHolders(t)
+	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	var ids []fleet.UpstreamID
 	for i := range upstreams {
 		ids = append(ids, fleet.UpstreamID(fmt.Sprintf("u%02d", i)))
 	}
 	for at := listEvery; at < 6*time.Second; at += listEvery {
-		o.SetUpstreams(now, archive, ready(ids[:min(upstreams, int(upstreams*at/heartbeat))]...))
+		o.SetUpstreams(now, archive, usableUpstreams(ids[:min(upstreams, int(upstreams*at/heartbeat))]...))
 		run(o, h, &now, listEvery)
 	}
 	m, _ := o.Map()
-	with := make(map[fleet.UpstreamID]bool)
+	holders := make(map[fleet.UpstreamID]bool)
 	for _, s := range m.Services[archive] {
-		with[s.Holder] = true
+		holders[s.Holder] = true
 	}
-	if len(with) != upstreams {
-		t.Errorf("%d upstreams hold keys, want %d", len(with), upstreams)
+	if len(holders) != upstreams {
+		t.Errorf("%d upstreams hold keys, want %d", len(holders), upstreams)
 	}
 }
--- a/internal/keyspace/record.go
+++ b/internal/keyspace/record.go
@@ -10,16 +10,17 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Record is what a leader stores, so that the next one knows who may hold what, and
-// a starting instance which others share limits with it.
+// Record is the state that a leader stores. The next leader reads from it which
+// upstreams may hold which keys, and a starting instance reads which other instances
+// share limits with it.
 type Record struct {
-	Instances []fleet.Peer // of the fleet; none if they are unknown
+	Instances []fleet.Peer // of the fleet; empty if unknown
 	NextFence fleet.Fence
 	Services  map[fleet.ServiceID][]RecordPiece
 }
 
-// RecordPiece is a span and its holder. Moving says that another upstream may
-// still hold the span.
+// RecordPiece is a shard in a Record. Moving means that an upstream other than Holder
+// may still hold the span.
 type RecordPiece struct {
 	Span
 	Holder fleet.UpstreamID
@@ -28,71 +29,72 @@
 	Moving bool
 }
 
-// caution is how long the record may say that the former holder of a span still holds
-// it although the next one has it. A leader elected meanwhile waits in vain; each
-// record is a priced call, and one that a move needs mostly comes before.
-const caution = 500 * time.Millisecond
+// maxOverstatedTime is how long the stored record may list a span as moving after the
+// move is complete. A leader that is elected in this time waits for the former holder
+// without need. The delay saves store calls, which are billed: the next move usually
+// needs a record before the delay ends.
+const maxOverstatedTime = 500 * time.Millisecond
 
-// outdate notes that the record is more cautious than it need be.
-func (o *Owner) outdate(now time.Time) {
-	if o.outdated.IsZero() {
-		o.outdated = now
+// markOverstated notes that the stored record lists a hold that has ended.
+func (o *Owner) markOverstated(now time.Time) {
+	if o.overstatedSince.IsZero() {
+		o.overstatedSince = now
 	}
 }
 
-// Save returns the record to store if it changed, and a function to call once it
-// is stored.
+// Save returns the record to store, a function to call once it is stored, and whether
+// there is a record to store.
 func (o *Owner) Save(now time.Time) (Record, func(), bool) {
-	if !o.dirty && (o.outdated.IsZero() || now.Sub(o.outdated) < caution) {
+	if !o.recordDirty && (o.overstatedSince.IsZero() || now.Sub(o.overstatedSince) < maxOverstatedTime) {
 		return Record{}, nil, false
 	}
-	o.dirty, o.outdated = false, time.Time{}
+	o.recordDirty, o.overstatedSince = false, time.Time{}
 	rec := Record{Instances: o.instances, NextFence: o.nextFence, Services: make(map[fleet.ServiceID][]RecordPiece)}
-	type version struct {
-		p     *piece
-		next  *target
+	type savedShard struct {
+		p     *shard
+		next  *transfer
 		fence fleet.Fence
 	}
-	var saved []version
+	var savedShards []savedShard
 	for id, s := range o.services {
-		for _, p := range s.pieces {
-			saved = append(saved, version{p, p.next, p.fence})
-			r := RecordPiece{Span: p.Span, Holder: p.holder, Boot: p.boot, Fence: p.fence, Moving: !p.barred.IsZero()}
-			if p.next != nil {
-				r = RecordPiece{Span: p.Span, Holder: p.next.holder, Boot: p.next.boot, Fence: p.next.fence, Moving: true}
+		for _, sh := range s.shards {
+			savedShards = append(savedShards, savedShard{sh, sh.next, sh.fence})
+			r := RecordPiece{Span: sh.Span, Holder: sh.holder, Boot: sh.boot, Fence: sh.fence, Moving: !sh.blockedUntil.IsZero()}
+			if sh.next != nil {
+				r = RecordPiece{Span: sh.Span, Holder: sh.next.holder, Boot: sh.next.boot, Fence: sh.next.fence, Moving: true}
 			}
 			rec.Services[id] = append(rec.Services[id], r)
 		}
 	}
-	stored := func() {
-		for _, v := range saved {
+	markRecorded := func() {
+		for _, v := range savedShards {
 			if v.p.next == v.next && v.p.fence == v.fence {
-				v.p.stored = true
+				v.p.recorded = true
 			}
 		}
 	}
-	return rec, stored, true
+	return rec, markRecorded, true
 }
 
-// Map returns the holders as they are recorded. Its term is 0, so that it is older
-// than every leader's map.
+// Map returns the holders in r as a map with term 0, which is older than the map of
+// any leader.
 func (r Record) Map() *Map {
 	m := &Map{Version: MapVersion{Seq: 1}, Services: make(map[fleet.ServiceID][]Held)}
-	for id, pieces := range r.Services {
+	for id, shards := range r.Services {
 		var spans []Held
-		for _, p := range pieces {
-			h := Held{Span: p.Span}
+		for _, p := range shards {
+			span := Held{Span: p.Span}
 			if !p.Moving {
-				h.Holder = p.Holder
+				span.Holder = p.Holder
 			}
-			spans = appendHeld(spans, h)
+			spans = appendHeld(spans, span)
 		}
 		m.Services[id] = spans
 	}
 	return m
 }
 
-// Encode returns the stored form.
+// Encode returns r as JSON.
 func (r Record) Encode() []byte {
 	var e jx.Encoder
 	e.ObjStart()
@@ -137,7 +139,8 @@
 	e.ObjEnd()
 }
 
-// DecodeRecord parses the stored form and checks that spans cover all keys.
+// DecodeRecord parses the output of Encode and checks that the spans of each service
+// cover all keys in order.
 func DecodeRecord(data []byte) (Record, error) {
 	r := Record{Services: make(map[fleet.ServiceID][]RecordPiece)}
 	err := jx.DecodeBytes(data).Obj(func(d *jx.Decoder, field string) error {
@@ -153,7 +156,7 @@
 		case "services":
 			return d.Obj(func(d *jx.Decoder, id string) error {
 				return d.Arr(func(d *jx.Decoder) error {
-					p, err := decodePiece(d)
+					p, err := decodeRecordShard(d)
 					r.Services[fleet.ServiceID(id)] = append(r.Services[fleet.ServiceID(id)], p)
 					return err
 				})
@@ -164,9 +167,9 @@
 	if err != nil {
 		return Record{}, errors.Wrap(err, "ownership record")
 	}
-	for id, pieces := range r.Services {
+	for id, shards := range r.Services {
 		next := 0
-		for _, p := range pieces {
+		for _, p := range shards {
 			if int(p.From) != next || p.To < p.From {
 				return Record{}, errors.Errorf("ownership record: service %q: span %d-%d does not follow key %d", id, p.From, p.To, next-1)
 			}
@@ -179,7 +182,7 @@
 	return r, nil
 }
 
-func decodePiece(d *jx.Decoder) (RecordPiece, error) {
+func decodeRecordShard(d *jx.Decoder) (RecordPiece, error) {
 	var p RecordPiece
 	err := d.Obj(func(d *jx.Decoder, field string) error {
 		switch field {
