--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -7,55 +7,54 @@
 )
 
 const (
-	// dividedRate is the least part of a limit, in requests a second for each instance,
-	// that is divided among instances. Of a smaller one an instance would refuse
-	// requests that arrive close together while the others leave their parts unused:
-	// one in seven with parts of 0.4 a second, one in 20 with parts of 2.
-	dividedRate = 3.0
-	// homeSlack is the part of the tolerated requests that a home uses. It counts
-	// exactly; the rest is left for the time in which two instances take themselves for
-	// the home.
-	homeSlack = 0.25
+	// minDividedRate is the minimum rate per instance, in requests per second, of a limit
+	// that is divided among instances. With a lower rate, an instance would refuse requests
+	// that arrive close together while other instances leave their shares unused: 1 in 7
+	// requests with a share of 0.4 requests per second, 1 in 20 with a share of 2.
+	minDividedRate = 3.0
+	// homeSlackShare is the share of Config.Slack that a home uses. A home counts exactly;
+	// the rest covers the time in which two instances act as home of the same account.
+	homeSlackShare = 0.25
 )
 
-// Divided reports whether a limit is divided among so many instances. One that is
-// not is counted by its account's home alone.
+// Divided reports whether limit is divided among the given number of instances. A limit
+// that is not divided is counted only by the home of its account.
 func Divided(limit fleet.Limit, instances int) bool {
-	return limit.Unlimited() || float64(limit.Rate) >= dividedRate*float64(max(instances, 1))
+	return limit.Unlimited() || float64(limit.Rate) >= minDividedRate*float64(max(instances, 1))
 }
 
-// Home counts the requests of the accounts that this instance is the home of, for
-// all instances.
+// Home counts the requests, at all instances, of the accounts whose home this instance
+// is.
 type Home struct {
 	cfg      Config
-	accounts map[fleet.AccountID]*pool
+	accounts map[fleet.AccountID]*homeBucket
 }
 
-type pool struct {
-	tokens float64
-	filled time.Time
+type homeBucket struct {
+	tokens     float64
+	lastRefill time.Time
 }
 
-// NewHome returns a home that has admitted nothing.
+// NewHome returns a Home without buckets.
 func NewHome(cfg Config) *Home {
-	return &Home{cfg: cfg, accounts: make(map[fleet.AccountID]*pool)}
+	return &Home{cfg: cfg, accounts: make(map[fleet.AccountID]*homeBucket)}
 }
 
-// SetConfig replaces what the platform tolerates.
+// SetConfig replaces the tolerances.
 func (h *Home) SetConfig(cfg Config) { h.cfg = cfg }
 
-// Admit reports whether a request of the account is within its limit. The duration
-// is the time until a token is there.
+// Admit reports whether a request of the account is within its limit, and if so counts
+// it. For a refused request, the duration is the time until a token is available.
 func (h *Home) Admit(now time.Time, id fleet.AccountID, limit fleet.Limit) (bool, time.Duration) {
 	rate := float64(limit.Rate)
-	depth := max(1, float64(limit.Burst)+h.cfg.Slack*homeSlack)
+	depth := max(1, float64(limit.Burst)+h.cfg.Slack*homeSlackShare)
 	p := h.accounts[id]
 	if p == nil {
-		p = &pool{tokens: max(1, rate*startTime.Seconds()), filled: now}
+		p = &homeBucket{tokens: max(1, rate*initialTokenTime.Seconds()), lastRefill: now}
 		h.accounts[id] = p
 	}
-	p.tokens = min(p.tokens+rate*max(0, now.Sub(p.filled).Seconds()), depth)
-	p.filled = now
+	p.tokens = min(p.tokens+rate*max(0, now.Sub(p.lastRefill).Seconds()), depth)
+	p.lastRefill = now
 	if p.tokens < 1 {
 		return false, time.Duration((1 - p.tokens) / rate * float64(time.Second))
 	}
@@ -63,13 +62,13 @@
 	return true, 0
 }
 
-// CountedElsewhere notes that a home counts the account's requests: if its limit is
-// divided again, this instance starts without tokens.
+// CountedElsewhere empties the account's bucket, because a home counts the requests of
+// the account. If the limit is divided again, this instance starts without tokens.
 func (t *Table) CountedElsewhere(now time.Time, id fleet.AccountID, limit fleet.Limit) {
 	b := t.accounts[id]
 	if b == nil {
 		b = &bucket{}
 		t.accounts[id] = b
 	}
-	b.limit, b.tokens, b.filled, b.demand = limit, 0, now, 0
+	b.limit, b.tokens, b.lastRefill, b.demand = limit, 0, now, 0
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,41 +13,43 @@
 	cfg   = Config{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 )
 
-// simulation is a number of instances that share demand every 300 ms.
+// simulation runs several instances that report their demand to each other every 300 ms,
+// unless exchangeInterval is set.
 type simulation struct {
-	tables   []*Table
-	now      time.Time
-	admitted []time.Time
-	refused  int
-	every    time.Duration // between two exchanges of demand; 0 is 300 ms
-	// reporting is the number of instances whose demand is known; 0 is all.
-	reporting int
+	tables           []*Table
+	now              time.Time
+	admitted         []time.Time
+	refused          int
+	exchangeInterval time.Duration // between exchanges of demand; 0 means 300 ms
+	// reportingInstances is the number of instances that report their demand; 0 means all.
+	reportingInstances int
 }
 
-func newSimulation(n int) *simulation {
+func newSimulation(instances int) *simulation {
 	s := &simulation{now: start}
-	for range n {
+	for range instances {
 		s.tables = append(s.tables, New(start.Add(-time.Minute), cfg))
 	}
 	return s
 }
 
-// run sends rate requests a second for d; weights says how callers divide.
+// run sends rate requests per second for the time d. weights contains the relative
+// number of requests to each instance.
 func (s *simulation) run(rng *rand.Rand, limit fleet.Limit, rate float64, d time.Duration, weights []int) {
 	total := 0
 	for _, w := range weights {
 		total += w
 	}
-	share := s.now
+	lastExchange := s.now
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		if s.now.Sub(share) > max(s.every, 300*time.Millisecond) {
-			share = s.now
+		if s.now.Sub(lastExchange) > max(s.exchangeInterval, 300*time.Millisecond) {
+			lastExchange = s.now
 			s.exchange()
 		}
-		n, i := rng.IntN(total), 0
-		for n >= weights[i] {
-			n -= weights[i]
+		position, i := rng.IntN(total), 0
+		for position >= weights[i] {
+			position -= weights[i]
 			i++
 		}
 		if ok, _ := s.tables[i].Admit(s.now, "a", limit, len(s.tables)); ok {
@@ -62,7 +64,7 @@
 	sum := make(map[fleet.AccountID]float64)
 	own := make([]map[fleet.AccountID]float64, len(s.tables))
 	for i, t := range s.tables {
-		if s.reporting > 0 && i >= s.reporting {
+		if s.reportingInstances > 0 && i >= s.reportingInstances {
 			continue
 		}
 		own[i] = t.Demand(s.now)
@@ -75,8 +77,8 @@
 	}
 }
 
-// worst returns the most requests admitted in any window.
-func (s *simulation) worst() int {
+// maxPerWindow returns the maximum number of requests admitted in any window.
+func (s *simulation) maxPerWindow() int {
 	worst, first := 0, 0
 	for i, at := range s.admitted {
 		for at.Sub(s.admitted[first]) >= cfg.Window {
@@ -87,12 +89,12 @@
 	return worst
 }
 
-func allowed(l fleet.Limit) int {
+func maxAllowed(l fleet.Limit) int {
 	return int((float64(l.Rate)*cfg.Window.Seconds()+float64(l.Burst))*(1+cfg.Overage) + cfg.Slack)
 }
 
-// Guards against an account that gets more than its limit over all instances when
-// it suddenly sends several times its usual, and against refusals within the limit.
+// Guards against an account that exceeds its limit over all instances when its request
+// rate suddenly rises to a multiple, and against refusals within the limit.
 func TestLimitOverAllInstances(t *testing.T) {
 	for _, rate := range []float64{10, 60, 200} {
 		for _, weights := range [][]int{{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, {5, 1, 1, 0, 0, 0, 1, 0, 2, 0}} {
@@ -100,19 +102,19 @@
 			limit := fleet.Limit{Rate: fleet.PerSecond(rate), Burst: fleet.Tokens(rate)}
 			s := newSimulation(len(weights))
 			s.run(rng, limit, rate/1.6, 20*time.Second, weights)
-			if usual := len(s.admitted) + s.refused; s.refused*50 > usual {
-				t.Errorf("rate %v, callers %v: %d of %d refused within the limit", rate, weights, s.refused, usual)
+			if sent := len(s.admitted) + s.refused; s.refused*50 > sent {
+				t.Errorf("rate %v, callers %v: %d of %d refused within the limit", rate, weights, s.refused, sent)
 			}
 			s.run(rng, limit, rate/1.6*8, 10*time.Second, weights)
-			if got, most := s.worst(), allowed(limit); got > most {
+			if got, most := s.maxPerWindow(), maxAllowed(limit); got > most {
 				t.Errorf("rate %v, callers %v: %d admitted in a window, at most %d are allowed", rate, weights, got, most)
 			}
 		}
 	}
 }
 
-// Guards against many instances that each go a little beyond their part when an
-// account suddenly sends several times its usual.
+// Guards against many instances that each exceed their share by a few requests when the
+// request rate of an account suddenly rises to a multiple.
 func TestLimitOverManyInstances(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	limit := fleet.Limit{Rate: 500, Burst: 500}
@@ -121,16 +123,16 @@
 		weights[i] = 1 + i%5
 	}
 	s := newSimulation(len(weights))
-	s.every = 1400 * time.Millisecond // a report each way at the pace for 70 instances
+	s.exchangeInterval = 1400 * time.Millisecond // reporting interval with 70 instances, both ways
 	s.run(rng, limit, 310, 15*time.Second, weights)
 	s.run(rng, limit, 2400, 8*time.Second, weights)
-	if got, most := s.worst(), allowed(limit); got > most {
+	if got, most := s.maxPerWindow(), maxAllowed(limit); got > most {
 		t.Errorf("%d admitted in a window, at most %d are allowed", got, most)
 	}
 }
 
-// Guards against instances that admit a whole burst again after a restart.
-func TestRestartDoesNotRefill(t *testing.T) {
+// Guards against instances that admit a full burst again after a restart.
+func TestRestartDoesNotRefillBuckets(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	limit := fleet.Limit{Rate: 200, Burst: 200}
 	weights := []int{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}
@@ -140,18 +142,18 @@
 	for i := range s.tables {
 		s.tables[i] = New(s.now, cfg)
 	}
-	s.reporting = 3 // the others have not found the new leader yet
+	s.reportingInstances = 3 // the other instances do not report until they know the new leader
 	s.run(rng, limit, 900, time.Second, weights)
-	s.reporting = 0
+	s.reportingInstances = 0
 	s.run(rng, limit, 900, 8*time.Second, weights)
-	if got, most := s.worst(), allowed(limit); got > most {
+	if got, most := s.maxPerWindow(), maxAllowed(limit); got > most {
 		t.Errorf("%d admitted in a window, at most %d are allowed", got, most)
 	}
 }
 
-// Guards against instances that return, each with an even part, while the parts of
-// the others already add up to the whole limit.
-func TestLimitWhileHalfReturns(t *testing.T) {
+// Guards against an account that exceeds its limit when stopped instances return, each
+// with an even share, while the shares of the others already add up to the whole limit.
+func TestLimitWhileInstancesReturn(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		limit := fleet.Limit{Rate: 430, Burst: 870}
@@ -160,7 +162,7 @@
 			weights[i] = 1 + i%5
 		}
 		s := newSimulation(len(weights))
-		s.every = 700 * time.Millisecond
+		s.exchangeInterval = 700 * time.Millisecond
 		s.run(rng, limit, 300, 10*time.Second, weights)
 		s.run(rng, limit, 2200, 3*time.Second, weights)
 		survivors := append([]int(nil), weights...)
@@ -176,20 +178,20 @@
 			}
 		}
 		s.run(rng, limit, 2200, 10*time.Second, weights)
-		if got, most := s.worst(), allowed(limit); got > most {
+		if got, most := s.maxPerWindow(), maxAllowed(limit); got > most {
 			t.Errorf("seed %d: %d admitted in a window, at most %d are allowed", seed, got, most)
 		}
 	}
 }
 
-// Guards against requests of a small account that are refused within its limit since
-// each of many instances has a part of less than one request, and against more than
-// the limit when it sends several times its usual and its home changes.
+// Guards against refusals within a small limit because each of many instances has a share
+// of less than one request, and against exceeding the limit when the request rate rises
+// to a multiple and the home of the account changes.
 func TestSmallLimitOverManyInstances(t *testing.T) {
 	const instances = 70
 	limit := fleet.Limit{Rate: 30, Burst: 30}
 	if Divided(limit, instances) || !Divided(limit, 8) || !Divided(fleet.Limit{}, instances) {
-		t.Fatal("which limits are divided has changed; the test needs one that is not")
+		t.Fatal("Divided has changed; the test needs a limit that is not divided among 70 instances")
 	}
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 8))
@@ -206,20 +208,20 @@
 			}
 		}
 		send(homes[0], 19, 20*time.Second)
-		if usual := len(s.admitted) + s.refused; s.refused*50 > usual {
-			t.Errorf("seed %d: %d of %d refused within the limit", seed, s.refused, usual)
+		if sent := len(s.admitted) + s.refused; s.refused*50 > sent {
+			t.Errorf("seed %d: %d of %d refused within the limit", seed, s.refused, sent)
 		}
 		send(homes[0], 150, 3*time.Second)
 		send(homes[1], 150, 5*time.Second)
-		if got, most := s.worst(), allowed(limit); got > most {
+		if got, most := s.maxPerWindow(), maxAllowed(limit); got > most {
 			t.Errorf("seed %d: %d admitted in a window, at most %d are allowed", seed, got, most)
 		}
 	}
 }
 
-// Guards against a whole burst at each instance once a limit is divided again that
-// its home counted.
-func TestDividedAgain(t *testing.T) {
+// Guards against a full burst at each instance when a limit that the home has counted is
+// divided again.
+func TestNoBurstAfterHomeCounting(t *testing.T) {
 	limit := fleet.Limit{Rate: 30, Burst: 300}
 	table := New(start.Add(-time.Minute), cfg)
 	table.CountedElsewhere(start, "a", limit)
@@ -234,9 +236,9 @@
 	}
 }
 
-// Guards against a fleet that refuses most requests of an account right after all
-// instances have started again, although it is within its limit.
-func TestRestartServesAtOnce(t *testing.T) {
+// Guards against a fleet that, after a restart of all instances, refuses most requests of
+// an account that is within its limit.
+func TestRestartAdmitsWithinLimit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	limit := fleet.Limit{Rate: 200, Burst: 200}
 	weights := []int{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}
@@ -250,9 +252,9 @@
 	}
 }
 
-// Guards against homes that admit more than 0.4 s of a limit's rate at each start:
-// two restarts of all instances within a window then add up to more than the limit.
-func TestHomeStartsWithLittle(t *testing.T) {
+// Guards against homes that admit more than 0.4 s of a limit's rate after each start. Two
+// restarts of all instances within a window would then exceed the limit.
+func TestNewHomeAdmitsLittle(t *testing.T) {
 	for _, rate := range []float64{1, 4, 100} {
 		home, admitted := NewHome(cfg), 0
 		for range 1000 {
@@ -260,8 +262,8 @@
 				admitted++
 			}
 		}
-		if most := max(1, int(0.4*rate)); admitted > most {
-			t.Errorf("rate %v: a home that starts admits %d requests at once, want at most %d", rate, admitted, most)
+		if maxAdmitted := max(1, int(0.4*rate)); admitted > maxAdmitted {
+			t.Errorf("rate %v: a home that starts admits %d requests at once, want at most %d", rate, admitted, maxAdmitted)
 		}
 	}
 }
