--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,6 +1,6 @@
-// Package routes holds the operators' configuration as requests are matched
-// against it. A Table never changes; a newer configuration is a new Table with a
-// higher version.
+// Package routes contains the operators' configuration in the form in which requests
+// are matched against it. A Table is immutable; each newer configuration is a new Table
+// with a higher version.
 package routes
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Version orders configurations. Versions grow, but not by one.
+// Version orders configurations. Versions increase, but not necessarily by 1.
 type Version uint64
 
 // Table is one configuration.
@@ -21,48 +21,49 @@
 	Services map[fleet.ServiceID]Service
 	Accounts map[fleet.AccountID]Account
 
-	byHost map[string][]*Route // longest prefix first
-	byKey  map[fleet.CallerKeyHash]fleet.AccountID
+	routesByHost map[string][]*Route // by canonical host, longest prefix first
+	accountByKey map[fleet.CallerKeyHash]fleet.AccountID
 }
 
 // Service is a group of upstreams.
 type Service struct {
 	ID       fleet.ServiceID
-	Sharded  bool          // keys are owned exclusively; see package keyspace
-	ColdFor  time.Duration // after its start
-	ColdRate fleet.PerSecond
+	Sharded  bool            // keys are owned exclusively; see package keyspace
+	ColdFor  time.Duration   // time after its start in which an upstream is cold
+	ColdRate fleet.PerSecond // requests per second that a cold upstream may be sent
 }
 
-// Route says how requests below a prefix are handled.
+// Route defines how requests for a host and path prefix are handled.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Parts       []Part // at least one
 	Idempotent  bool
-	MaxAttempts int           // upstreams that one request may be sent to
-	Timeout     time.Duration // the longest time until the answer
-	Target      time.Duration // an answer within it counts in full
-	Open        bool          // needs no caller key
+	MaxAttempts int           // maximum number of upstreams that one request is sent to
+	Timeout     time.Duration // maximum time until the answer
+	Target      time.Duration // target latency
+	Open        bool          // requests need no caller key
 }
 
-// Part is a service's share of a route.
+// Part is the share of a route's traffic that one service gets.
 type Part struct {
 	Service fleet.ServiceID
-	Weight  int
+	Weight  int // relative to the other parts of the route
 }
 
-// Account is a client account. The zero Limit is no limit.
+// Account is a client account. A zero Limit means that there is no limit.
 type Account struct {
 	ID    fleet.AccountID
 	Limit fleet.Limit
 }
 
-// NewTable indexes routes and caller keys.
-func NewTable(v Version, services []Service, accounts []Account, keys map[fleet.CallerKeyHash]fleet.AccountID, all []Route) *Table {
+// NewTable returns the table of a configuration. It keeps keys and list, which must not
+// change afterwards.
+func NewTable(v Version, services []Service, accounts []Account, keys map[fleet.CallerKeyHash]fleet.AccountID, list []Route) *Table {
 	t := &Table{
 		Version: v, Services: make(map[fleet.ServiceID]Service), Accounts: make(map[fleet.AccountID]Account),
-		byHost: make(map[string][]*Route), byKey: keys,
+		routesByHost: make(map[string][]*Route), accountByKey: keys,
 	}
 	for _, s := range services {
 		t.Services[s.ID] = s
@@ -70,12 +71,12 @@
 	for _, a := range accounts {
 		t.Accounts[a.ID] = a
 	}
-	for i := range all {
-		host := canonicalHost(all[i].Host)
-		t.byHost[host] = append(t.byHost[host], &all[i])
+	for i := range list {
+		host := canonicalHost(list[i].Host)
+		t.routesByHost[host] = append(t.routesByHost[host], &list[i])
 	}
-	for _, rs := range t.byHost {
-		slices.SortStableFunc(rs, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, hostRoutes := range t.routesByHost {
+		slices.SortStableFunc(hostRoutes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	return t
 }
@@ -85,9 +86,9 @@
 	return strings.ToLower(name)
 }
 
-// Match returns the route with the longest prefix of path, or nil.
+// Match returns the route of host with the longest matching prefix of path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, r := range t.byHost[canonicalHost(host)] {
+	for _, r := range t.routesByHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -95,16 +96,18 @@
 	return nil
 }
 
-// Account returns the account that holds the caller key.
+// Account returns the account that the caller key belongs to. The second result is false
+// if the key is unknown.
 func (t *Table) Account(key fleet.CallerKey) (Account, bool) {
-	id, ok := t.byKey[key.Hash()]
+	id, ok := t.accountByKey[key.Hash()]
 	if !ok {
 		return Account{}, false
 	}
 	return t.Accounts[id], true
 }
 
-// Pick draws a service by weight.
+// Pick returns a random service of the route, with probabilities proportional to the
+// weights.
 func (r *Route) Pick(rng *rand.Rand) fleet.ServiceID {
 	total := 0
 	for _, p := range r.Parts {
