--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -113,14 +113,14 @@
 }
 
 // LearnSamples adds the samples of another instance to the service times of an upstream.
-func (t *Table) LearnSamples(now time.Time, id fleet.UpstreamID, s Samples) {
+func (t *Table) LearnSamples(now time.Time, id fleet.UpstreamID, samples Samples) {
 	e := t.entries[id]
-	if e == nil || s.N <= 0 {
+	if e == nil || samples.N <= 0 {
 		return
 	}
-	mean := s.Sum / float64(s.N)
-	t.updateLongMean(e, mean, s.N)
-	t.updateShortMeans(now, e, mean, 1-math.Pow(1-shortMeanWeight, float64(s.N)))
+	mean := samples.Sum / float64(samples.N)
+	t.updateLongMean(e, mean, samples.N)
+	t.updateShortMeans(now, e, mean, 1-math.Pow(1-shortMeanWeight, float64(samples.N)))
 	e.lastLearned = now
 }
 
@@ -146,7 +146,7 @@
 // caller must pass the samples of all instances, including this one. While an upstream
 // is saturated, its long mean is computed from the throughput and not from the response
 // times, because requests that timed out in the queue are missing among these.
-func (t *Table) CountAnswers(now time.Time, id fleet.UpstreamID, s Samples) {
+func (t *Table) CountAnswers(now time.Time, id fleet.UpstreamID, samples Samples) {
 	e := t.entries[id]
 	if e == nil {
 		return
@@ -156,9 +156,9 @@
 	if elapsed > 2*throughputWindow {
 		*count, elapsed = throughputCount{start: now}, 0
 	}
-	count.answers += s.N + s.Queued
-	count.queueEvidence += s.Queued + s.Lost
-	count.lost += s.Lost
+	count.answers += samples.N + samples.Queued
+	count.queueEvidence += samples.Queued + samples.Lost
+	count.lost += samples.Lost
 	if elapsed < throughputWindow {
 		return
 	}
--- a/internal/keyspace/keyspace_test.go
+++ b/internal/keyspace/keyspace_test.go
@@ -39,24 +39,24 @@
 // keys would be slow.
 const sampleStep = 64
 
-func (h *fakeUpstreams) answer(now time.Time, c Call) Result {
+func (fakes *fakeUpstreams) answer(now time.Time, c Call) Result {
 	switch {
-	case h.silent[c.Upstream]:
+	case fakes.silent[c.Upstream]:
 		return NoAnswer
-	case h.restarted[c.Upstream] != "" && h.restarted[c.Upstream] != c.Boot:
+	case fakes.restarted[c.Upstream] != "" && fakes.restarted[c.Upstream] != c.Boot:
 		return NotSent
 	case c.Service != archive:
 		return Done
 	}
-	return h.apply(now, now, c)
+	return fakes.apply(now, now, c)
 }
 
 // apply executes c, which reached the upstream at the given time.
-func (h *fakeUpstreams) apply(now, arrived time.Time, c Call) Result {
-	if h.holdEnds[c.Upstream] == nil {
-		h.holdEnds[c.Upstream], h.fences[c.Upstream] = make(map[Key]time.Time), make(map[Key]fleet.Fence)
+func (fakes *fakeUpstreams) apply(now, arrived time.Time, c Call) Result {
+	if fakes.holdEnds[c.Upstream] == nil {
+		fakes.holdEnds[c.Upstream], fakes.fences[c.Upstream] = make(map[Key]time.Time), make(map[Key]fleet.Fence)
 	}
-	until, fence := h.holdEnds[c.Upstream], h.fences[c.Upstream]
+	until, fence := fakes.holdEnds[c.Upstream], fakes.fences[c.Upstream]
 	for k := int(c.From) / sampleStep * sampleStep; k <= int(c.To); k += sampleStep {
 		if k >= int(c.From) && !c.Release && fence[Key(k)] > c.Fence {
 			return Conflict
@@ -73,9 +73,9 @@
 		}
 		fence[key] = max(fence[key], c.Fence)
 		until[key] = arrived.Add(c.Hold)
-		for other, otherEnds := range h.holdEnds {
+		for other, otherEnds := range fakes.holdEnds {
 			if other != c.Upstream && now.Before(otherEnds[key]) {
-				h.t.Fatalf("%v after the start: %s was granted key %d, which %s holds for another %v", now.Sub(start), c.Upstream, key, other, otherEnds[key].Sub(now))
+				fakes.t.Fatalf("%v after the start: %s was granted key %d, which %s holds for another %v", now.Sub(start), c.Upstream, key, other, otherEnds[key].Sub(now))
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 
 // run executes the plans and calls of o for the time d and stores each record at once.
 // It returns the last record.
-func run(o *Owner, h *fakeUpstreams, now *time.Time, d time.Duration) Record {
+func run(o *Owner, fakes *fakeUpstreams, now *time.Time, d time.Duration) Record {
 	var last Record
 	for end := now.Add(d); now.Before(end); *now = now.Add(50 * time.Millisecond) {
 		o.Plan(*now)
@@ -93,7 +93,7 @@
 			stored()
 		}
 		for _, c := range o.Calls(*now) {
-			o.Ended(*now, c, h.answer(*now, c), "warm")
+			o.Ended(*now, c, fakes.answer(*now, c), "warm")
 		}
 	}
 	return last
@@ -123,14 +123,14 @@
 // upstream after a few neighbouring keys have become busy.
 func TestBusyKeysAreSpread(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
-	run(o, h, &now, 3*time.Second)
+	run(o, fakes, &now, 3*time.Second)
 	for range 80 {
 		for k := range Key(60) {
 			o.Heat(archive).Add(1000 + k)
 		}
-		run(o, h, &now, 100*time.Millisecond)
+		run(o, fakes, &now, 100*time.Millisecond)
 	}
 	m, _ := o.Map()
 	got := make(map[fleet.UpstreamID]int)
@@ -146,16 +146,16 @@
 // it. No part of that load could be moved to make the utilisations equal.
 func TestHotKeyGoesToFastUpstream(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	list := usableUpstreams("a", "b", "c")
 	list[0].Capacity, list[1].Capacity, list[2].Capacity = 14, 14, 32
 	list[0].Speed, list[1].Speed, list[2].Speed = 0.7, 0.7, 1.6
 	o.SetUpstreams(now, archive, list)
-	run(o, h, &now, 3*time.Second)
+	run(o, fakes, &now, 3*time.Second)
 	for range 20 {
 		o.Heat(archive).Add(1000)
 		o.Heat(archive).Add(1000)
-		run(o, h, &now, 100*time.Millisecond)
+		run(o, fakes, &now, 100*time.Millisecond)
 	}
 	m, _ := o.Map()
 	if diff := cmp.Diff(fleet.UpstreamID("c"), m.Holder(archive, 1000)); diff != "" {
@@ -168,9 +168,9 @@
 // record of its own before the former holder's grants have expired.
 func TestMoveSurvivesTwoLeaders(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
-	run(o, h, &now, 3*time.Second)
+	run(o, fakes, &now, 3*time.Second)
 	// The first leader plans to move all keys to b, stores the record and stops.
 	o.SetUpstreams(now, archive, []Upstream{{ID: "a", Boot: "1", Capacity: 20}, {ID: "b", Boot: "1", Usable: true, Capacity: 20}})
 	o.Plan(now)
@@ -183,11 +183,11 @@
 		o = NewOwner(now, term, timing, rec)
 		o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 		o.SetUpstreams(now, "other", usableUpstreams("x")) // makes the second leader store a record
-		if next := run(o, h, &now, 1500*time.Millisecond); next.Services != nil {
+		if next := run(o, fakes, &now, 1500*time.Millisecond); next.Services != nil {
 			rec = next
 		}
 	}
-	run(o, h, &now, 10*time.Second)
+	run(o, fakes, &now, 10*time.Second)
 	if st := o.Stats(); st.Held != st.Shards {
 		t.Errorf("not all shards are held: %+v", st)
 	}
@@ -197,11 +197,11 @@
 // grants have expired, and against keys that no other upstream ever gets.
 func TestSilentHolderLosesKeys(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
-	run(o, h, &now, 3*time.Second)
-	h.silent["a"] = true
-	run(o, h, &now, 8*time.Second)
+	run(o, fakes, &now, 3*time.Second)
+	fakes.silent["a"] = true
+	run(o, fakes, &now, 8*time.Second)
 	m, _ := o.Map()
 	for _, s := range m.Services[archive] {
 		if s.Holder == "a" || s.Holder == "" {
@@ -214,9 +214,9 @@
 // again after their release.
 func TestLateRenewalIsRefused(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
-	run(o, h, &now, 3*time.Second)
+	run(o, fakes, &now, 3*time.Second)
 	var late []Call
 	for len(late) == 0 {
 		now = now.Add(100 * time.Millisecond)
@@ -226,14 +226,14 @@
 				o.Ended(now, c, NoAnswer, "")
 				continue
 			}
-			o.Ended(now, c, h.answer(now, c), "")
+			o.Ended(now, c, fakes.answer(now, c), "")
 		}
 	}
 	o.SetUpstreams(now, archive, []Upstream{{ID: "a", Boot: "1", Capacity: 20}, {ID: "b", Boot: "1", Usable: true, Capacity: 20}})
 	arrived := now
-	run(o, h, &now, time.Second)
+	run(o, fakes, &now, time.Second)
 	for _, c := range late {
-		if diff := cmp.Diff(Conflict, h.apply(now, arrived, c)); diff != "" {
+		if diff := cmp.Diff(Conflict, fakes.apply(now, arrived, c)); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -243,15 +243,15 @@
 // process.
 func TestRestartedHolderIsReplacedAtOnce(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
-	run(o, h, &now, 3*time.Second)
-	delete(h.holdEnds, "a")
-	h.restarted["a"] = "2"
+	run(o, fakes, &now, 3*time.Second)
+	delete(fakes.holdEnds, "a")
+	fakes.restarted["a"] = "2"
 	list := usableUpstreams("a", "b")
 	list[0].Boot, list[0].Cold = "2", true
 	o.SetUpstreams(now, archive, list)
-	run(o, h, &now, 300*time.Millisecond)
+	run(o, fakes, &now, 300*time.Millisecond)
 	if st := o.Stats(); st.Held != st.Shards {
 		t.Errorf("not all shards are held: %+v", st)
 	}
@@ -262,17 +262,17 @@
 // of the restart.
 func TestRestartLearnedAfterGrants(t *testing.T) {
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
-	run(o, h, &now, 3*time.Second)
-	delete(h.holdEnds, "a")
-	delete(h.fences, "a")
-	run(o, h, &now, 2*time.Second) // renewals reach the new process
-	h.restarted["a"] = "2"
+	run(o, fakes, &now, 3*time.Second)
+	delete(fakes.holdEnds, "a")
+	delete(fakes.fences, "a")
+	run(o, fakes, &now, 2*time.Second) // renewals reach the new process
+	fakes.restarted["a"] = "2"
 	list := usableUpstreams("a", "b")
 	list[0].Boot, list[0].Cold = "2", true
 	o.SetUpstreams(now, archive, list)
-	run(o, h, &now, 2*time.Second)
+	run(o, fakes, &now, 2*time.Second)
 	if st := o.Stats(); st.Held != st.Shards {
 		t.Errorf("not all shards are held: %+v", st)
 	}
@@ -311,8 +311,8 @@
 		next := 0
 		for next < Keys {
 			to := min(maxKey, next+rng.IntN(20_000))
-			h := Held{Span{Key(next), Key(to)}, fleet.UpstreamID([]string{"", "a", "b", "c"}[rng.IntN(4)])}
-			m.Services[archive] = appendHeld(m.Services[archive], h)
+			fakes := Held{Span{Key(next), Key(to)}, fleet.UpstreamID([]string{"", "a", "b", "c"}[rng.IntN(4)])}
+			m.Services[archive] = appendHeld(m.Services[archive], fakes)
 			next = to + 1
 		}
 		return m
@@ -335,9 +335,9 @@
 		step           = 10 * time.Millisecond
 	)
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
-	run(o, h, &now, 3*time.Second)
+	run(o, fakes, &now, 3*time.Second)
 	records := 0
 	var last Record
 	carryOutCalls := func(d time.Duration) {
@@ -348,7 +348,7 @@
 				stored()
 			}
 			for _, c := range o.Calls(now) {
-				o.Ended(now, c, h.answer(now, c), "warm")
+				o.Ended(now, c, fakes.answer(now, c), "warm")
 			}
 		}
 	}
--- a/internal/keyspace/loadcounter.go
+++ b/internal/keyspace/loadcounter.go
@@ -36,15 +36,15 @@
 }
 
 // Add counts a request for k.
-func (h *LoadCounter) Add(k Key) {
-	h.slow.counts[k]++
-	h.fast.counts[k]++
+func (lc *LoadCounter) Add(k Key) {
+	lc.slow.counts[k]++
+	lc.fast.counts[k]++
 }
 
 // Decay reduces all counts for the time dt since the previous call.
-func (h *LoadCounter) Decay(dt time.Duration) {
-	h.slow.decay(dt)
-	h.fast.decay(dt)
+func (lc *LoadCounter) Decay(dt time.Duration) {
+	lc.slow.decay(dt)
+	lc.fast.decay(dt)
 }
 
 func (c *decayingCounter) decay(dt time.Duration) {
@@ -72,23 +72,23 @@
 
 // SetSurging selects what Rate, Prefix and Suffix use: the fast counts and their trend
 // if on is true, the slow counts otherwise.
-func (h *LoadCounter) SetSurging(on bool) { h.surging = on }
+func (lc *LoadCounter) SetSurging(on bool) { lc.surging = on }
 
 // Rates returns the requests per second for a span, estimated from the slow and from
 // the fast counts.
-func (h *LoadCounter) Rates(s Span) (slow, fast float64) { return h.slow.rate(s), h.fast.rate(s) }
+func (lc *LoadCounter) Rates(s Span) (slow, fast float64) { return lc.slow.rate(s), lc.fast.rate(s) }
 
 // trendFactor extrapolates a surge: this multiple of the difference between the fast
 // and the slow rate is added to the fast rate, which lags behind the present one.
 const trendFactor = 0.7
 
 // keyRate returns the estimated requests per second for key k.
-func (h *LoadCounter) keyRate(k int) float64 {
-	slow := float64(h.slow.counts[k]) * h.slow.ratePerCount()
-	if !h.surging {
+func (lc *LoadCounter) keyRate(k int) float64 {
+	slow := float64(lc.slow.counts[k]) * lc.slow.ratePerCount()
+	if !lc.surging {
 		return slow + baseRate/Keys
 	}
-	fast := float64(h.fast.counts[k]) * h.fast.ratePerCount()
+	fast := float64(lc.fast.counts[k]) * lc.fast.ratePerCount()
 	return max(0, fast+trendFactor*(fast-slow)) + baseRate/Keys
 }
 
@@ -98,20 +98,20 @@
 const baseRate = 2.0
 
 // Rate returns the estimated requests per second for a span.
-func (h *LoadCounter) Rate(s Span) float64 {
+func (lc *LoadCounter) Rate(s Span) float64 {
 	sum := 0.0
 	for k := int(s.From); k <= int(s.To); k++ {
-		sum += h.keyRate(k)
+		sum += lc.keyRate(k)
 	}
 	return sum
 }
 
 // Prefix returns the longest prefix of s with at most rate requests per second, and
 // the rate of the prefix. The last result is false if not even one key fits.
-func (h *LoadCounter) Prefix(s Span, rate float64) (Span, float64, bool) {
+func (lc *LoadCounter) Prefix(s Span, rate float64) (Span, float64, bool) {
 	sum := 0.0
 	for k := int(s.From); k <= int(s.To); k++ {
-		r := h.keyRate(k)
+		r := lc.keyRate(k)
 		if sum+r > rate {
 			return Span{s.From, Key(k - 1)}, sum, k > int(s.From)
 		}
@@ -122,10 +122,10 @@
 
 // Suffix returns the longest suffix of s with at most rate requests per second, and
 // the rate of the suffix. The last result is false if not even one key fits.
-func (h *LoadCounter) Suffix(s Span, rate float64) (Span, float64, bool) {
+func (lc *LoadCounter) Suffix(s Span, rate float64) (Span, float64, bool) {
 	sum := 0.0
 	for k := int(s.To); k >= int(s.From); k-- {
-		r := h.keyRate(k)
+		r := lc.keyRate(k)
 		if sum+r > rate {
 			return Span{Key(k + 1), s.To}, sum, k < int(s.To)
 		}
--- a/internal/keyspace/plan_test.go
+++ b/internal/keyspace/plan_test.go
@@ -17,18 +17,18 @@
 		ratePerUpstream = 30 // requests per second for each upstream of the first half, which has a capacity of 20
 	)
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	var ids []fleet.UpstreamID
 	for i := range upstreams {
 		ids = append(ids, fleet.UpstreamID(fmt.Sprintf("u%02d", i)))
 	}
 	o.SetUpstreams(now, archive, usableUpstreams(ids...))
-	run(o, h, &now, 3*time.Second)
-	heat := o.Heat(archive)
-	countPerRate := int(1 / heat.slow.ratePerCount())
+	run(o, fakes, &now, 3*time.Second)
+	loadCounter := o.Heat(archive)
+	countPerRate := int(1 / loadCounter.slow.ratePerCount())
 	for i := range ratePerUpstream * upstreams / 2 {
 		for range countPerRate {
-			heat.Add(Key(i * Keys / 2 / (ratePerUpstream * upstreams / 2)))
+			loadCounter.Add(Key(i * Keys / 2 / (ratePerUpstream * upstreams / 2)))
 		}
 	}
 	o.Plan(now)
@@ -47,14 +47,14 @@
 		listEvery = 500 * time.Millisecond
 	)
 	now := start
-	o, h := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
 	var ids []fleet.UpstreamID
 	for i := range upstreams {
 		ids = append(ids, fleet.UpstreamID(fmt.Sprintf("u%02d", i)))
 	}
 	for at := listEvery; at < 6*time.Second; at += listEvery {
 		o.SetUpstreams(now, archive, usableUpstreams(ids[:min(upstreams, int(upstreams*at/heartbeat))]...))
-		run(o, h, &now, listEvery)
+		run(o, fakes, &now, listEvery)
 	}
 	m, _ := o.Map()
 	holders := make(map[fleet.UpstreamID]bool)
