--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,17 +1,19 @@
-// Package assignment holds the record of who owns what, its codec and the
-// planner.
+// Package assignment defines the record that assigns shards and pinned keys to
+// upstreams and upstreams to dispatchers, its JSON codec, and the planner that
+// computes the next record.
 //
-// A unit has at most one owner. A change of owner takes a new fence from the one
-// counter of the record and adds the old owner to Previous. Previous is emptied
-// only when the owner's dispatcher reports the grant of the current fence, which
-// it makes only after every previous owner has released the unit. An upstream
-// stays in the table while any unit names it.
+// A unit, which is a shard or a pinned key, has at most one owner. Each change of
+// owner takes a new fence from the record's counter NextFence and adds the old
+// owner to Previous. Previous is cleared only when the new owner's dispatcher
+// reports that it has granted the current fence, which it does only after every
+// previous owner has released the unit. An upstream remains in the table while
+// any unit refers to it as owner or previous owner.
 //
-// A key leaves its shard when it is pinned. The pin then names the shard's owner
-// as previous owner, and the shard gets a new fence: requests for the key that
-// were sent under the old fence are refused from the grant of the new one on.
-// When a pin ends, the key goes to the owner of its shard, and the pin stays
-// in the table without an owner until that upstream has released it.
+// Pinning a key removes it from its shard. The shard's owner becomes the pin's
+// previous owner, and the shard gets a new fence. Once the new fence is granted,
+// the owner refuses requests for the key that were sent under the old fence.
+// Unpinning a key first moves the pin to the owner of its shard. The pin then
+// remains in the table without an owner until that upstream has released it.
 package assignment
 
 import (
@@ -22,34 +24,36 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Assignment is the record under platform.KeyAssignment. It is not changed once
-// it is in use: Plan returns another one.
+// Assignment is the record stored under platform.KeyAssignment. A published
+// Assignment is immutable: Plan returns a new one.
 type Assignment struct {
 	Members         []Member // sorted by id
-	PreviousMembers []Member // the list before the last change, until that is learned
+	PreviousMembers []Member // the list before the last change, until majorities have learned the change
 	Draining        []fleet.InstanceID
 	Upstreams       []Upstream  // sorted by id
-	Units           []Ownership // by service; the shards from 0 on, then the pins by key
+	Units           []Ownership // by service: first the shards from 0 on, then the pins sorted by key
 	NextFence       fleet.Fence
 
-	spans map[fleet.ServiceID]span
-	pins  map[fleet.Unit]int
+	serviceRanges map[fleet.ServiceID]unitRange
+	pinIndex      map[fleet.Unit]int
 }
 
-// Member is an instance whose knowledge counts for authority.
+// Member is an instance that counts towards the majorities by which authority is
+// decided (see package authority).
 type Member struct {
 	ID      fleet.InstanceID
 	Boot    fleet.BootID
-	Address string // for instances
+	Address string // for traffic between instances
 	HTTP    string // for forwarded requests
 	Zone    fleet.ZoneID
 }
 
-// Run returns the id that stands for this run of the instance where knowledge
-// is counted: a later run does not know what this one has learned.
+// Run returns an id for this run of the instance, made of its id and boot id.
+// Majorities count runs, because a restarted instance has lost the revisions that
+// its earlier run had learned.
 func (m Member) Run() fleet.InstanceID { return m.ID + "@" + fleet.InstanceID(m.Boot) }
 
-// State says whether an upstream can own units.
+// State is the lifecycle state of an upstream. Only a live upstream is given units.
 type State string
 
 // States of an upstream.
@@ -59,48 +63,53 @@
 	Lost    State = "lost"
 )
 
-// Upstream is a back end with the instance that sends it everything.
+// Upstream is a back end and the dispatcher assigned to it: the one instance that
+// sends requests and commands to the upstream.
 type Upstream struct {
 	ID         fleet.UpstreamID
 	Service    fleet.ServiceID
 	Address    string
 	Zone       fleet.ZoneID
-	Dispatcher fleet.InstanceID // empty: none yet
-	Fence      fleet.Fence      // of the dispatcher
+	Dispatcher fleet.InstanceID // empty: none assigned yet
+	Fence      fleet.Fence      // dispatcher fence
 	State      State
 }
 
-// span is the part of Units that belongs to a service.
-type span struct{ lo, pins, hi int }
+// unitRange locates the units of one service in Assignment.Units: its shards are
+// [start, pins), its pins are [pins, end).
+type unitRange struct{ start, pins, end int }
 
-// Owner returns the ownership that a request for the key falls under: that of
-// the key's pin, else of its shard. The number of shards is the one that the
-// service was created with; a later change in the catalogue would move keys
-// between shards without a handover, so it is not followed.
+// Owner returns the ownership that applies to requests for the key: that of its
+// pin if the pin has an owner, otherwise that of its shard. It returns false if
+// neither has an owner. The shard count is the one with which the service was
+// created. The unnamed parameter, the shard count in the catalogue, is ignored,
+// because a changed count would move keys between shards without a handover.
 func (a *Assignment) Owner(service fleet.ServiceID, key fleet.RoutingKey, _ int) (Ownership, bool) {
-	s, ok := a.spans[service]
-	if !ok || s.lo == s.pins {
+	s, ok := a.serviceRanges[service]
+	if !ok || s.start == s.pins {
 		return Ownership{}, false
 	}
-	if i, ok := a.pins[fleet.Unit{Service: service, Pin: key}]; ok && a.Units[i].Owner != "" {
+	if i, ok := a.pinIndex[fleet.Unit{Service: service, Pin: key}]; ok && a.Units[i].Owner != "" {
 		return a.Units[i], true
 	}
-	u := a.Units[s.lo+int(key.Shard(s.pins-s.lo))]
+	u := a.Units[s.start+int(key.Shard(s.pins-s.start))]
 	return u, u.Owner != ""
 }
 
-// Shards returns the number of shards of a service, or 0.
+// Shards returns the number of shards of a service, or 0 if the service is not in
+// the record.
 func (a *Assignment) Shards(service fleet.ServiceID) int {
-	s := a.spans[service]
-	return s.pins - s.lo
+	s := a.serviceRanges[service]
+	return s.pins - s.start
 }
 
-// Home returns the instance that keeps the token bucket: the member in service
-// with the highest hash of itself and the id. A change of the members moves only
-// the buckets of the members that changed.
+// Home returns the instance that holds the token bucket of the limit, chosen by
+// rendezvous hashing over the members that are not draining (over all members if
+// all are draining). A change of members therefore moves only the buckets of the
+// members that changed.
 func (a *Assignment) Home(id fleet.LimitID) fleet.InstanceID {
 	var best fleet.InstanceID
-	var high uint64
+	var bestHash uint64
 	var d xxhash.Digest
 	for _, m := range a.Members {
 		if slices.Contains(a.Draining, m.ID) && len(a.Draining) < len(a.Members) {
@@ -110,23 +119,23 @@
 		_, _ = d.WriteString(string(m.ID))
 		_, _ = d.Write([]byte{0})
 		_, _ = d.WriteString(string(id))
-		if sum := d.Sum64(); best == "" || sum > high {
-			best, high = m.ID, sum
+		if sum := d.Sum64(); best == "" || sum > bestHash {
+			best, bestHash = m.ID, sum
 		}
 	}
 	return best
 }
 
-// Upstream returns the upstream with the id.
+// Upstream returns the upstream with the id, and whether the record contains it.
 func (a *Assignment) Upstream(id fleet.UpstreamID) (Upstream, bool) {
-	i, ok := a.upstream(id)
+	i, ok := a.upstreamIndex(id)
 	if !ok {
 		return Upstream{}, false
 	}
 	return a.Upstreams[i], true
 }
 
-// Equal reports whether the records are the same.
+// Equal reports whether both records have the same contents.
 func (a *Assignment) Equal(o *Assignment) bool {
 	return a.NextFence == o.NextFence && slices.Equal(a.Members, o.Members) &&
 		slices.Equal(a.PreviousMembers, o.PreviousMembers) && slices.Equal(a.Draining, o.Draining) &&
@@ -137,27 +146,27 @@
 	return o.Unit == p.Unit && o.Owner == p.Owner && o.Fence == p.Fence && slices.Equal(o.Previous, p.Previous)
 }
 
-func (a *Assignment) upstream(id fleet.UpstreamID) (int, bool) {
+func (a *Assignment) upstreamIndex(id fleet.UpstreamID) (int, bool) {
 	return slices.BinarySearchFunc(a.Upstreams, id, func(u Upstream, id fleet.UpstreamID) int {
 		return strings.Compare(string(u.ID), string(id))
 	})
 }
 
-// index builds the tables that Owner looks into.
-func (a *Assignment) index() {
-	a.spans = map[fleet.ServiceID]span{}
-	a.pins = map[fleet.Unit]int{}
-	for lo := 0; lo < len(a.Units); {
-		s := span{lo: lo, pins: lo}
-		service := a.Units[lo].Unit.Service
+// buildIndex builds the lookup tables serviceRanges and pinIndex from Units.
+func (a *Assignment) buildIndex() {
+	a.serviceRanges = map[fleet.ServiceID]unitRange{}
+	a.pinIndex = map[fleet.Unit]int{}
+	for start := 0; start < len(a.Units); {
+		s := unitRange{start: start, pins: start}
+		service := a.Units[start].Unit.Service
 		for s.pins < len(a.Units) && a.Units[s.pins].Unit.Service == service && a.Units[s.pins].Unit.Pin == "" {
 			s.pins++
 		}
-		for s.hi = s.pins; s.hi < len(a.Units) && a.Units[s.hi].Unit.Service == service; s.hi++ {
-			a.pins[a.Units[s.hi].Unit] = s.hi
+		for s.end = s.pins; s.end < len(a.Units) && a.Units[s.end].Unit.Service == service; s.end++ {
+			a.pinIndex[a.Units[s.end].Unit] = s.end
 		}
-		a.spans[service] = s
-		lo = s.hi
+		a.serviceRanges[service] = s
+		start = s.end
 	}
 }
 
--- a/internal/assignment/encode.go
+++ b/internal/assignment/encode.go
@@ -5,44 +5,44 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// none stands for the missing owner where upstreams are given by their number.
-const none = -1
+// noOwner is the upstream number that encodes a missing owner.
+const noOwner = -1
 
-// Encode returns the record as kebab-case JSON. Units name upstreams by their
-// number in the upstream table: a unit then takes about 12 bytes, so that the
-// store's 1 MB hold about 80,000 units.
+// Encode returns the record as JSON with kebab-case names. Units refer to
+// upstreams by their number in the upstream table. A unit then takes about
+// 12 bytes, so about 80,000 units fit the store's limit of 1 MB per record.
 func (a *Assignment) Encode() []byte {
-	e := &encoder{numbers: make(map[fleet.UpstreamID]int, len(a.Upstreams))}
+	e := &encoder{upstreamNumbers: make(map[fleet.UpstreamID]int, len(a.Upstreams))}
 	e.Grow(256 + 128*len(a.Upstreams) + 16*len(a.Units))
 	for i, u := range a.Upstreams {
-		e.numbers[u.ID] = i
+		e.upstreamNumbers[u.ID] = i
 	}
 	e.ObjStart()
 	e.FieldStart("next-fence")
 	e.UInt64(uint64(a.NextFence))
 	e.Comma()
-	e.members("members", a.Members)
+	e.writeMembers("members", a.Members)
 	e.Comma()
-	e.members("previous-members", a.PreviousMembers)
+	e.writeMembers("previous-members", a.PreviousMembers)
 	e.Comma()
 	e.FieldStart("draining")
-	list(e, a.Draining, func(id fleet.InstanceID) { e.Str(string(id)) })
+	writeArray(e, a.Draining, func(id fleet.InstanceID) { e.Str(string(id)) })
 	e.Comma()
 	e.FieldStart("upstreams")
-	list(e, a.Upstreams, e.upstream)
+	writeArray(e, a.Upstreams, e.writeUpstream)
 	e.Comma()
 	e.FieldStart("services")
-	e.services(a.Units)
+	e.writeServices(a.Units)
 	e.ObjEnd()
 	return e.Buf
 }
 
 type encoder struct {
 	jx.Writer
-	numbers map[fleet.UpstreamID]int
+	upstreamNumbers map[fleet.UpstreamID]int
 }
 
-func list[T any](e *encoder, items []T, write func(T)) {
+func writeArray[T any](e *encoder, items []T, write func(T)) {
 	e.ArrStart()
 	for i, x := range items {
 		if i > 0 {
@@ -53,8 +53,9 @@
 	e.ArrEnd()
 }
 
-// fields writes an object of strings.
-func (e *encoder) fields(pairs ...string) {
+// writeStringFields writes fields of an object from alternating names and string
+// values.
+func (e *encoder) writeStringFields(pairs ...string) {
 	for i := 0; i < len(pairs); i += 2 {
 		if i > 0 {
 			e.Comma()
@@ -64,18 +65,18 @@
 	}
 }
 
-func (e *encoder) members(name string, members []Member) {
+func (e *encoder) writeMembers(name string, members []Member) {
 	e.FieldStart(name)
-	list(e, members, func(m Member) {
+	writeArray(e, members, func(m Member) {
 		e.ObjStart()
-		e.fields("id", string(m.ID), "boot", string(m.Boot), "address", m.Address, "http", m.HTTP, "zone", string(m.Zone))
+		e.writeStringFields("id", string(m.ID), "boot", string(m.Boot), "address", m.Address, "http", m.HTTP, "zone", string(m.Zone))
 		e.ObjEnd()
 	})
 }
 
-func (e *encoder) upstream(u Upstream) {
+func (e *encoder) writeUpstream(u Upstream) {
 	e.ObjStart()
-	e.fields("id", string(u.ID), "service", string(u.Service), "address", u.Address, "zone", string(u.Zone),
+	e.writeStringFields("id", string(u.ID), "service", string(u.Service), "address", u.Address, "zone", string(u.Zone),
 		"dispatcher", string(u.Dispatcher), "state", string(u.State))
 	e.Comma()
 	e.FieldStart("fence")
@@ -83,62 +84,63 @@
 	e.ObjEnd()
 }
 
-func (e *encoder) services(units []Ownership) {
+func (e *encoder) writeServices(units []Ownership) {
 	e.ArrStart()
 	for i := 0; i < len(units); {
 		if i > 0 {
 			e.Comma()
 		}
-		i += e.service(units[i:])
+		i += e.writeService(units[i:])
 	}
 	e.ArrEnd()
 }
 
-// service writes the first service of units and returns how many are its units.
-func (e *encoder) service(units []Ownership) int {
+// writeService writes the first service in units and returns its number of units.
+func (e *encoder) writeService(units []Ownership) int {
 	id := units[0].Unit.Service
-	var pins, end int
+	var firstPin, end int
 	for end < len(units) && units[end].Unit.Service == id {
 		if end++; units[end-1].Unit.Pin == "" {
-			pins = end
+			firstPin = end
 		}
 	}
 	e.ObjStart()
-	e.fields("id", string(id))
+	e.writeStringFields("id", string(id))
 	e.Comma()
 	e.FieldStart("shards")
-	list(e, units[:pins], func(o Ownership) {
+	writeArray(e, units[:firstPin], func(o Ownership) {
 		e.ArrStart()
-		e.ownership(o)
+		e.writeOwnership(o)
 		e.ArrEnd()
 	})
 	e.Comma()
 	e.FieldStart("pins")
-	list(e, units[pins:end], func(o Ownership) {
+	writeArray(e, units[firstPin:end], func(o Ownership) {
 		e.ArrStart()
 		e.Str(string(o.Unit.Pin))
 		e.Comma()
-		e.ownership(o)
+		e.writeOwnership(o)
 		e.ArrEnd()
 	})
 	e.ObjEnd()
 	return end
 }
 
-// ownership writes owner, fence and previous owners as elements of an array.
-func (e *encoder) ownership(o Ownership) {
-	e.Int(e.number(o.Owner))
+// writeOwnership writes the owner, the fence and the previous owners as elements
+// of the open array.
+func (e *encoder) writeOwnership(o Ownership) {
+	e.Int(e.upstreamNumber(o.Owner))
 	e.Comma()
 	e.UInt64(uint64(o.Fence))
 	for _, id := range o.Previous {
 		e.Comma()
-		e.Int(e.number(id))
+		e.Int(e.upstreamNumber(id))
 	}
 }
 
-func (e *encoder) number(id fleet.UpstreamID) int {
-	if i, ok := e.numbers[id]; ok {
+func (e *encoder) upstreamNumber(id fleet.UpstreamID) int {
+	if i, ok := e.upstreamNumbers[id]; ok {
 		return i
 	}
-	return none
+	return noOwner
 }
--- a/internal/assignment/members.go
+++ b/internal/assignment/members.go
@@ -11,17 +11,17 @@
 
 func sortedKeys[K ~string, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// changeMembers changes the member list, at most once per learned assignment,
-// and the draining instances. A list change keeps the list before it, and the
-// kept list is dropped once majorities of both have learned the change. Without
-// it, an instance that was told only the old list could find a majority there
-// that knows nothing of a change in force.
+// updateMembers updates the member list, at most once per learned assignment, and
+// the list of draining instances. A change of the member list keeps the old list
+// as PreviousMembers until majorities of both lists have learned the change.
+// Without the old list, an instance that knows only that list could get a majority
+// of it in which no member knows a change that is already in force.
 //
-// An instance that returns under another boot id is replaced, and its old run is
-// left out of the kept list: what that run learned is forgotten, and a majority
-// of the live members is a majority of the list without it, too.
-func (p *plan) changeMembers() {
-	if p.in.Learned || len(p.next.Members) == 0 { // without members nobody has to learn
+// A member with a new boot id replaces the member with the old one, whose run is
+// left out of PreviousMembers: the revisions that this run had learned are lost,
+// and a majority of the remaining members is also a majority of the list without it.
+func (p *planner) updateMembers() {
+	if p.input.Learned || len(p.next.Members) == 0 { // an empty list has no members that have to learn it
 		restarted := map[fleet.InstanceID]bool{}
 		members, previous := p.memberLists(restarted)
 		switch {
@@ -34,167 +34,172 @@
 			p.changed = true
 		}
 	}
-	if draining := p.draining(); !slices.Equal(draining, p.next.Draining) {
+	if draining := p.drainingMembers(); !slices.Equal(draining, p.next.Draining) {
 		p.next.Draining = draining
 		p.changed = true
 	}
 }
 
-func (p *plan) memberLists(restarted map[fleet.InstanceID]bool) (members, previous []Member) {
-	var notes []Move
-	note := func(cause Cause, id fleet.InstanceID, detail string) {
-		notes = append(notes, Move{Cause: cause, Detail: "instance " + string(id) + detail})
+func (p *planner) memberLists(restarted map[fleet.InstanceID]bool) (members, previous []Member) {
+	var changes []Move
+	addChange := func(cause Cause, id fleet.InstanceID, detail string) {
+		changes = append(changes, Move{Cause: cause, Detail: "instance " + string(id) + detail})
 	}
-	busy := map[fleet.InstanceID]bool{}
+	isDispatcher := map[fleet.InstanceID]bool{}
 	for _, u := range p.next.Upstreams {
-		busy[u.Dispatcher] = true
+		isDispatcher[u.Dispatcher] = true
 	}
 	joining := map[fleet.InstanceID]Member{}
-	for _, m := range p.in.Joining {
+	for _, m := range p.input.Joining {
 		joining[m.ID] = m
 	}
-	known := map[fleet.InstanceID]bool{}
+	inLists := map[fleet.InstanceID]bool{}
 	for _, m := range p.next.PreviousMembers {
-		known[m.ID] = true
+		inLists[m.ID] = true
 	}
 	for _, m := range p.next.Members {
-		known[m.ID] = true
+		inLists[m.ID] = true
 		if j, ok := joining[m.ID]; ok && j.Boot != m.Boot {
-			note(CauseMemberJoined, m.ID, " restarted")
+			addChange(CauseMemberJoined, m.ID, " restarted")
 			members = append(members, j)
 			restarted[m.ID] = true
 			continue
 		}
 		previous = append(previous, m)
-		if slices.Contains(p.in.Lost, m.ID) {
-			note(CauseMemberLost, m.ID, "")
-		} else if slices.Contains(p.in.Leaving, m.ID) && !busy[m.ID] {
-			note(CauseMemberLeft, m.ID, "")
+		if slices.Contains(p.input.Lost, m.ID) {
+			addChange(CauseMemberLost, m.ID, "")
+		} else if slices.Contains(p.input.Leaving, m.ID) && !isDispatcher[m.ID] {
+			addChange(CauseMemberLeft, m.ID, "")
 		} else {
 			members = append(members, m)
 		}
 	}
 	for _, id := range sortedKeys(joining) {
-		if known[id] || slices.Contains(p.in.Lost, id) || slices.Contains(p.in.Leaving, id) {
+		if inLists[id] || slices.Contains(p.input.Lost, id) || slices.Contains(p.input.Leaving, id) {
 			continue
 		}
 		members = append(members, joining[id])
-		note(CauseMemberJoined, id, "")
+		addChange(CauseMemberJoined, id, "")
 	}
 	if len(members) == 0 {
 		return p.next.Members, nil // an empty list would have no majority
 	}
-	p.moves = append(p.moves, notes...)
+	p.moves = append(p.moves, changes...)
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return members, previous
 }
 
-// draining lists the members that are to give up their roles.
-func (p *plan) draining() []fleet.InstanceID {
+// drainingMembers returns the members that must hand over their dispatcher roles
+// and token buckets: those that are leaving or out of service, also by their zone.
+func (p *planner) drainingMembers() []fleet.InstanceID {
 	var ids []fleet.InstanceID
 	for _, m := range p.next.Members {
-		_, out := p.in.Catalogue.Out(catalogue.OutageInstance, string(m.ID))
-		_, zone := p.in.Catalogue.Out(catalogue.OutageZone, string(m.Zone))
-		if out || zone || slices.Contains(p.in.Leaving, m.ID) {
+		_, instanceOut := p.input.Catalogue.Out(catalogue.OutageInstance, string(m.ID))
+		_, zoneOut := p.input.Catalogue.Out(catalogue.OutageZone, string(m.Zone))
+		if instanceOut || zoneOut || slices.Contains(p.input.Leaving, m.ID) {
 			ids = append(ids, m.ID)
 		}
 	}
 	return ids
 }
 
-// maxDispatcherSpread is the difference in dispatched upstreams between two
-// instances from which on one upstream per plan moves. A difference of 1 is
-// unavoidable, and one of 2 is not worth a handover of the dispatcher role.
-const maxDispatcherSpread = 2
+// maxDispatcherImbalance is the largest accepted difference between the numbers of
+// upstreams of two dispatchers. Above it, each plan moves one upstream. A
+// difference of 1 is unavoidable, and a difference of 2 does not justify a handover
+// of the dispatcher role.
+const maxDispatcherImbalance = 2
 
-// assignDispatchers gives every upstream a member in service as dispatcher, one
-// of the upstream's zone if there is one. A dispatcher that restarted gets a new
-// fence even if it stays: its earlier run may have counted a unit as released
-// because the lease had ended, and renewals under the same fence would revive the
-// grant for requests that the earlier run has sent.
-func (p *plan) assignDispatchers() {
-	d := p.dispatchers()
+// assignDispatchers gives each upstream without a usable dispatcher a new one, if
+// possible a member in the upstream's zone that is not draining, and then makes at
+// most one move to improve the balance. A restarted dispatcher gets a new fence
+// even if it keeps the upstream: its earlier run may have counted a unit as
+// released because the lease had expired, and renewing the lease under the same
+// fence would make that grant valid again for requests that the earlier run sent.
+func (p *planner) assignDispatchers() {
+	d := p.newDispatcherPool()
 	for i := range p.next.Upstreams {
 		u := &p.next.Upstreams[i]
-		if d.active[u.Dispatcher] && !p.restarted[u.Dispatcher] {
+		if d.isCandidate[u.Dispatcher] && !p.restarted[u.Dispatcher] {
 			continue
 		}
-		to, ok := d.best(u.Zone)
+		to, ok := d.leastUsed(u.Zone)
 		if !ok {
 			continue
 		}
 		cause := CauseDispatcherLost
 		if u.Dispatcher == "" {
 			cause = CauseUpstreamJoined
-		} else if slices.Contains(p.next.Draining, u.Dispatcher) && !slices.Contains(p.in.Lost, u.Dispatcher) {
+		} else if slices.Contains(p.next.Draining, u.Dispatcher) && !slices.Contains(p.input.Lost, u.Dispatcher) {
 			cause = CauseDispatcherDraining
 		}
-		p.dispatch(d, u, to, cause)
+		p.setDispatcher(d, u, to, cause)
 	}
 	for i := range p.next.Upstreams {
 		u := &p.next.Upstreams[i]
-		to, ok := d.best(u.Zone)
-		if !ok || to == u.Dispatcher || !d.active[u.Dispatcher] {
+		to, ok := d.leastUsed(u.Zone)
+		if !ok || to == u.Dispatcher || !d.isCandidate[u.Dispatcher] {
 			continue
 		}
-		near, nearer := d.zone[u.Dispatcher] == u.Zone, d.zone[to] == u.Zone
-		if nearer && !near || near == nearer && d.count[u.Dispatcher] > d.count[to]+maxDispatcherSpread {
-			p.dispatch(d, u, to, CauseBalance)
+		currentInZone, candidateInZone := d.zones[u.Dispatcher] == u.Zone, d.zones[to] == u.Zone
+		if candidateInZone && !currentInZone || currentInZone == candidateInZone && d.upstreamCounts[u.Dispatcher] > d.upstreamCounts[to]+maxDispatcherImbalance {
+			p.setDispatcher(d, u, to, CauseBalance)
 			return
 		}
 	}
 }
 
-func (p *plan) dispatch(d *dispatchers, u *Upstream, to fleet.InstanceID, cause Cause) {
-	d.count[u.Dispatcher]--
-	d.count[to]++
+func (p *planner) setDispatcher(d *dispatcherPool, u *Upstream, to fleet.InstanceID, cause Cause) {
+	d.upstreamCounts[u.Dispatcher]--
+	d.upstreamCounts[to]++
 	detail := "dispatcher " + string(u.Dispatcher) + " to " + string(to)
-	u.Dispatcher, u.Fence = to, p.fence()
-	p.move(Move{From: u.ID, To: u.ID, Fence: u.Fence, Cause: cause, Detail: detail})
+	u.Dispatcher, u.Fence = to, p.takeFence()
+	p.addMove(Move{From: u.ID, To: u.ID, Fence: u.Fence, Cause: cause, Detail: detail})
 }
 
-// dispatchers holds the instances that may become dispatchers.
-type dispatchers struct {
-	ids    []fleet.InstanceID
-	active map[fleet.InstanceID]bool
-	zone   map[fleet.InstanceID]fleet.ZoneID
-	count  map[fleet.InstanceID]int
+// dispatcherPool holds the instances that may become dispatchers and the number of
+// upstreams of each.
+type dispatcherPool struct {
+	candidates     []fleet.InstanceID
+	isCandidate    map[fleet.InstanceID]bool
+	zones          map[fleet.InstanceID]fleet.ZoneID
+	upstreamCounts map[fleet.InstanceID]int
 }
 
-func (p *plan) dispatchers() *dispatchers {
-	d := &dispatchers{
-		active: map[fleet.InstanceID]bool{}, zone: map[fleet.InstanceID]fleet.ZoneID{},
-		count: map[fleet.InstanceID]int{},
+func (p *planner) newDispatcherPool() *dispatcherPool {
+	d := &dispatcherPool{
+		isCandidate: map[fleet.InstanceID]bool{}, zones: map[fleet.InstanceID]fleet.ZoneID{},
+		upstreamCounts: map[fleet.InstanceID]int{},
 	}
 	var all []fleet.InstanceID
 	for _, m := range p.next.Members {
-		if slices.Contains(p.in.Lost, m.ID) {
+		if slices.Contains(p.input.Lost, m.ID) {
 			continue
 		}
 		all = append(all, m.ID)
-		d.zone[m.ID] = m.Zone
+		d.zones[m.ID] = m.Zone
 		if !slices.Contains(p.next.Draining, m.ID) {
-			d.ids = append(d.ids, m.ID)
+			d.candidates = append(d.candidates, m.ID)
 		}
 	}
-	if len(d.ids) == 0 {
-		d.ids = all // draining instances are better than none
+	if len(d.candidates) == 0 {
+		d.candidates = all // use draining instances if there are no others
 	}
-	for _, id := range d.ids {
-		d.active[id] = true
+	for _, id := range d.candidates {
+		d.isCandidate[id] = true
 	}
 	for _, u := range p.next.Upstreams {
-		d.count[u.Dispatcher]++
+		d.upstreamCounts[u.Dispatcher]++
 	}
 	return d
 }
 
-// best returns the least used instance, in the zone if there is one.
-func (d *dispatchers) best(zone fleet.ZoneID) (fleet.InstanceID, bool) {
+// leastUsed returns the candidate with the fewest upstreams, preferring candidates
+// in the zone.
+func (d *dispatcherPool) leastUsed(zone fleet.ZoneID) (fleet.InstanceID, bool) {
 	var best fleet.InstanceID
-	for _, id := range d.ids {
-		near, nearest := d.zone[id] == zone, d.zone[best] == zone
-		if best == "" || near && !nearest || near == nearest && d.count[id] < d.count[best] {
+	for _, id := range d.candidates {
+		idInZone, bestInZone := d.zones[id] == zone, d.zones[best] == zone
+		if best == "" || idInZone && !bestInZone || idInZone == bestInZone && d.upstreamCounts[id] < d.upstreamCounts[best] {
 			best = id
 		}
 	}
--- a/internal/assignment/pins.go
+++ b/internal/assignment/pins.go
@@ -10,152 +10,154 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// A pin costs a handover, so pins are few per period and a key that is no longer
-// hot has to be far below the threshold before its pin ends.
+// Each pin costs a handover. Therefore the number of pins per period is limited,
+// and a pin ends only when the key's load is far below the pinning threshold.
 const (
-	pinPeriod = 10 * time.Second
-	pinsMax   = 4 // per service and period
-	hotShare  = 0.10
-	coldShare = 0.025
-	// hotRate is the rate below which no key is worth a pin, in requests/s.
-	hotRate = 20
+	pinPeriod        = 10 * time.Second
+	maxPinsPerPeriod = 4     // per service and period
+	minHotShare      = 0.10  // lowest share of its upstream's load at which a key is pinned
+	maxColdShare     = 0.025 // share of its upstream's load below which a pin ends
+	// minHotRate is the lowest rate in requests/s at which a key is pinned.
+	minHotRate = 20
 )
 
-// changePins evicts pins, ends those of keys that turned cold and pins hot keys.
-func (p *plan) changePins() {
+// updatePins moves pins away from unusable upstreams, unpins keys whose load has
+// dropped, and pins hot keys.
+func (p *planner) updatePins() {
 	var added []Ownership
 	for _, id := range p.serviceIDs() {
 		recent := 0
-		for _, at := range p.in.LastPin[id] {
+		for _, at := range p.input.LastPin[id] {
 			if p.now.Sub(at) < pinPeriod {
 				recent++
 			}
 		}
-		p.evictPins(id)
+		p.reassignPins(id)
 		if recent == 0 {
-			p.unpin(id)
+			p.unpinColdKeys(id)
 		}
-		added = append(added, p.pinHot(id, pinsMax-recent)...)
+		added = append(added, p.pinHotKeys(id, maxPinsPerPeriod-recent)...)
 	}
 	p.addUnits(added)
 }
 
-func (p *plan) evictPins(id fleet.ServiceID) {
-	s := p.next.spans[id]
-	for i := s.pins; i < s.hi; i++ {
+func (p *planner) reassignPins(id fleet.ServiceID) {
+	s := p.next.serviceRanges[id]
+	for i := s.pins; i < s.end; i++ {
 		o := &p.next.Units[i]
-		r := p.byID[o.Owner]
-		if r == nil || r.usable {
+		owner := p.infoByID[o.Owner]
+		if owner == nil || owner.usable {
 			continue
 		}
 		if to := p.leastLoaded(id, nil); to != nil {
-			p.give(i, to.ID, r.why, "")
+			p.setOwner(i, to.ID, owner.unusableCause, "")
 		}
 	}
 }
 
-// unpin returns cold keys to the owners of their shards. Once the owner has
-// been granted the key, the pin gives up its owner, and the shard serves the key.
-func (p *plan) unpin(id fleet.ServiceID) {
-	s := p.next.spans[id]
-	for i := s.pins; i < s.hi; i++ {
+// unpinColdKeys ends the pins of keys whose load has dropped, in two steps. The pin
+// first moves to the owner of its shard. Once that handover is complete, the
+// pin's owner is cleared, and the shard's ownership applies to the key again.
+func (p *planner) unpinColdKeys(id fleet.ServiceID) {
+	s := p.next.serviceRanges[id]
+	for i := s.pins; i < s.end; i++ {
 		o, shard := &p.next.Units[i], &p.next.Units[s.shardOf(p.next.Units[i].Unit.Pin)]
-		r := p.byID[o.Owner]
-		if r == nil || !r.usable || len(o.Previous) > 0 || !r.cold(o.Unit.Pin) {
+		owner := p.infoByID[o.Owner]
+		if owner == nil || !owner.usable || len(o.Previous) > 0 || !owner.isCold(o.Unit.Pin) {
 			continue
 		}
-		switch to := p.byID[shard.Owner]; {
+		switch to := p.infoByID[shard.Owner]; {
 		case to == nil || !to.usable || len(shard.Previous) > 0:
-		case to == r:
-			p.give(i, "", CauseUnpin, "")
+		case to == owner:
+			p.setOwner(i, "", CauseUnpin, "")
 		default:
-			p.give(i, to.ID, CauseUnpin, "")
+			p.setOwner(i, to.ID, CauseUnpin, "")
 		}
 	}
 }
 
-func (r *row) cold(key fleet.RoutingKey) bool {
-	for _, h := range r.report.Hot {
+func (u *upstreamInfo) isCold(key fleet.RoutingKey) bool {
+	for _, h := range u.report.Hot {
 		if h.Key == key {
-			return h.Rate < coldShare*r.report.Load
+			return h.Rate < maxColdShare*u.report.Load
 		}
 	}
 	return true
 }
 
-type hotKey struct {
+type pinCandidate struct {
 	HotKey
-	owner *row
+	owner *upstreamInfo
 	shard int
 }
 
-func (p *plan) pinHot(id fleet.ServiceID, budget int) (added []Ownership) {
-	for _, h := range p.hotKeys(id) {
-		if budget <= 0 {
+func (p *planner) pinHotKeys(id fleet.ServiceID, maxPins int) (added []Ownership) {
+	for _, c := range p.pinCandidates(id) {
+		if maxPins <= 0 {
 			return added
 		}
-		to := p.leastLoaded(id, h.owner)
-		if to == nil || to.load+h.Rate >= h.owner.load {
-			continue // the key alone is the load: moving it moves the problem
+		to := p.leastLoaded(id, c.owner)
+		if to == nil || to.expectedLoad+c.Rate >= c.owner.expectedLoad {
+			continue // the key is most of the load: moving it would only move the overload
 		}
-		budget--
-		to.load += h.Rate
-		h.owner.load -= h.Rate
-		added = append(added, p.pin(id, h, to))
+		maxPins--
+		to.expectedLoad += c.Rate
+		c.owner.expectedLoad -= c.Rate
+		added = append(added, p.pinKey(id, c, to))
 	}
 	return added
 }
 
-// hotKeys returns the keys to pin, the hottest first.
-func (p *plan) hotKeys(id fleet.ServiceID) []hotKey {
-	s := p.next.spans[id]
-	var hot []hotKey
+// pinCandidates returns the keys that may be pinned, in descending order of rate.
+func (p *planner) pinCandidates(id fleet.ServiceID) []pinCandidate {
+	s := p.next.serviceRanges[id]
+	var candidates []pinCandidate
 	seen := map[fleet.RoutingKey]bool{}
-	for _, r := range p.services[id] {
-		for _, h := range r.report.Hot {
-			if h.Key == "" || !utf8.ValidString(string(h.Key)) || h.Rate < hotRate || h.Rate < hotShare*r.report.Load {
+	for _, u := range p.infosByService[id] {
+		for _, h := range u.report.Hot {
+			if h.Key == "" || !utf8.ValidString(string(h.Key)) || h.Rate < minHotRate || h.Rate < minHotShare*u.report.Load {
 				continue
 			}
-			if _, pinned := p.next.pins[fleet.Unit{Service: id, Pin: h.Key}]; pinned || seen[h.Key] {
+			if _, pinned := p.next.pinIndex[fleet.Unit{Service: id, Pin: h.Key}]; pinned || seen[h.Key] {
 				continue
 			}
 			i := s.shardOf(h.Key)
-			if o := &p.next.Units[i]; r.usable && o.Owner == r.ID && len(o.Previous) == 0 {
+			if o := &p.next.Units[i]; u.usable && o.Owner == u.ID && len(o.Previous) == 0 {
 				seen[h.Key] = true
-				hot = append(hot, hotKey{h, r, i})
+				candidates = append(candidates, pinCandidate{h, u, i})
 			}
 		}
 	}
-	slices.SortStableFunc(hot, func(a, b hotKey) int { return cmp.Compare(b.Rate, a.Rate) })
-	return hot
+	slices.SortStableFunc(candidates, func(a, b pinCandidate) int { return cmp.Compare(b.Rate, a.Rate) })
+	return candidates
 }
 
-// pin takes the key out of its shard. The shard gets a new fence so that its
-// owner refuses requests for the key that were sent before.
-func (p *plan) pin(id fleet.ServiceID, h hotKey, to *row) Ownership {
-	shard := p.unit(h.shard)
-	shard.Fence = p.fence()
+// pinKey removes the key from its shard and returns the new pin. The shard gets a
+// new fence so that its owner refuses requests for the key that were sent earlier.
+func (p *planner) pinKey(id fleet.ServiceID, c pinCandidate, to *upstreamInfo) Ownership {
+	shard := p.writableUnit(c.shard)
+	shard.Fence = p.takeFence()
 	o := Ownership{
-		Unit: fleet.Unit{Service: id, Pin: h.Key}, Owner: to.ID,
-		Fence: p.fence(), Previous: []fleet.UpstreamID{shard.Owner},
+		Unit: fleet.Unit{Service: id, Pin: c.Key}, Owner: to.ID,
+		Fence: p.takeFence(), Previous: []fleet.UpstreamID{shard.Owner},
 	}
-	p.move(Move{
+	p.addMove(Move{
 		Unit: o.Unit, From: shard.Owner, To: to.ID, Fence: o.Fence, Cause: CausePin,
-		Detail: fmt.Sprintf("%.0f of %.0f requests/s", h.Rate, h.owner.report.Load),
+		Detail: fmt.Sprintf("%.0f of %.0f requests/s", c.Rate, c.owner.report.Load),
 	})
 	return o
 }
 
-// leastLoaded returns the usable upstream of the service with the lowest load
-// other than one. Warm upstreams come first.
-func (p *plan) leastLoaded(id fleet.ServiceID, other *row) *row {
-	var best *row
-	for _, r := range p.services[id] {
-		if !r.usable || r == other {
+// leastLoaded returns the usable upstream of the service with the highest warm
+// share and, among equal ones, the lowest load. It never returns exclude.
+func (p *planner) leastLoaded(id fleet.ServiceID, exclude *upstreamInfo) *upstreamInfo {
+	var best *upstreamInfo
+	for _, u := range p.infosByService[id] {
+		if !u.usable || u == exclude {
 			continue
 		}
-		if best == nil || cmp.Or(-cmp.Compare(r.warmth, best.warmth), cmp.Compare(r.load, best.load)) < 0 {
-			best = r
+		if best == nil || cmp.Or(-cmp.Compare(u.warmShare, best.warmShare), cmp.Compare(u.expectedLoad, best.expectedLoad)) < 0 {
+			best = u
 		}
 	}
 	return best
--- a/internal/assignment/plan.go
+++ b/internal/assignment/plan.go
@@ -10,28 +10,29 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Input is everything that a plan is based on.
+// Input is the data from which Plan computes the next assignment.
 type Input struct {
-	Current   *Assignment          // nil: none yet
-	Catalogue *catalogue.Catalogue // nil: not known, nothing moves
-	Listed    []platform.Listed
-	// Learned says that the pair of revisions that the planner knows was learned
-	// by the majorities of the design's section 4. Without it the member lists
-	// stay: only then do the majorities of successive lists share a member.
+	Current   *Assignment          // nil: no record stored yet
+	Catalogue *catalogue.Catalogue // nil: not known; Plan then changes nothing
+	Listed    []platform.Listed    // entries of the platform's list; only upstreams are used
+	// Learned reports whether majorities of the present and the previous member list
+	// have learned the revisions that the planner knows (design, section 4). The
+	// member list changes only if they have: otherwise majorities of successive lists
+	// might have no member in common.
 	Learned bool
-	Lost    []fleet.InstanceID // not heard by a majority for 600 ms
-	Leaving []fleet.InstanceID // shutting down
-	Joining []Member
+	Lost    []fleet.InstanceID // members that a majority has not heard from for 600 ms
+	Leaving []fleet.InstanceID // instances that are shutting down
+	Joining []Member           // instances to add; one with a new boot id replaces the member
 	Reports map[fleet.UpstreamID]Report
-	LastPin map[fleet.ServiceID][]time.Time
-	// LastSwap is the time of the last move with CauseLoad.
+	LastPin map[fleet.ServiceID][]time.Time // times of recent moves with CausePin
+	// LastSwap holds the time of the last move with CauseLoad, by service.
 	LastSwap map[fleet.ServiceID]time.Time
 }
 
-// Cause says why something moved.
+// Cause is the reason for a Move.
 type Cause string
 
-// Causes of moves.
+// Causes of moves. Pins are for keys with a high request rate, see Report.Hot.
 const (
 	CauseUpstreamLost       Cause = "upstream-lost"
 	CauseUpstreamLeaving    Cause = "upstream-leaving"
@@ -53,9 +54,10 @@
 	CauseMemberLeft         Cause = "member-left"
 )
 
-// Move is a decision with its reason. A unit that moved has Unit, From, To and
-// Fence. A new dispatcher has From and To, the upstream, and the dispatcher
-// fence. Other changes have only Detail, and an upstream in To.
+// Move is one change made by the planner and its cause. For a change of owner,
+// Unit, From, To and Fence are set. For a change of dispatcher, From and To both
+// name the upstream, and Fence is the new dispatcher fence. Other changes have only
+// Detail and, if they concern an upstream, To.
 type Move struct {
 	Unit     fleet.Unit
 	From, To fleet.UpstreamID
@@ -64,75 +66,76 @@
 	Detail   string
 }
 
-// Plan returns the next assignment and why; changed is false if nothing has to
-// move. Current is left as it is. The caller writes the result with the store's
-// compare-and-swap on the revision of Current, and acts on it only afterwards.
+// Plan returns the next assignment and the moves that lead to it. changed is false
+// if the assignment stays as it is. Plan does not modify in.Current. The caller
+// must write the result with a compare-and-swap on the revision of in.Current, and
+// may act on it only after the store has accepted it.
 func Plan(now time.Time, in Input) (next *Assignment, moves []Move, changed bool) {
 	if in.Catalogue == nil {
 		return in.Current, nil, false
 	}
-	p := newPlan(now, in)
+	p := newPlanner(now, in)
 	p.completeHandovers()
-	p.changeMembers()
-	p.changeUpstreams()
+	p.updateMembers()
+	p.updateUpstreams()
 	p.assignDispatchers()
-	p.changeServices()
-	p.fillRows()
+	p.updateServices()
+	p.buildUpstreamInfos()
 	for _, id := range p.serviceIDs() {
-		p.distribute(id)
+		p.distributeShards(id)
 	}
-	if p.in.Learned {
-		p.changePins()
-		p.relieve()
+	if p.input.Learned {
+		p.updatePins()
+		p.swapBusyShards()
 	}
-	p.dropUpstreams()
+	p.removeUpstreams()
 	if !p.changed {
 		return p.current, nil, false
 	}
-	p.next.index()
+	p.next.buildIndex()
 	return p.next, p.moves, true
 }
 
-// plan holds the tables that the systems of one Plan run over.
-type plan struct {
-	now     time.Time
-	in      Input
-	current *Assignment
-	next    *Assignment
-	moves   []Move
-	changed bool
-	copied  bool // Units of next are a copy
+// planner holds the state of one call of Plan.
+type planner struct {
+	now         time.Time
+	input       Input
+	current     *Assignment
+	next        *Assignment
+	moves       []Move
+	changed     bool
+	unitsCopied bool // next.Units is a copy of current.Units
 
-	listed    map[fleet.UpstreamID]platform.Listed
-	rows      []row // parallel to next.Upstreams
-	byID      map[fleet.UpstreamID]*row
-	services  map[fleet.ServiceID][]*row
-	restarted map[fleet.InstanceID]bool // members replaced by a later run
-	retiring  map[fleet.Unit]bool       // shards with a pin that has no owner
+	listed            map[fleet.UpstreamID]platform.Listed
+	infos             []upstreamInfo // same order as next.Upstreams
+	infoByID          map[fleet.UpstreamID]*upstreamInfo
+	infosByService    map[fleet.ServiceID][]*upstreamInfo
+	restarted         map[fleet.InstanceID]bool // members replaced by a later run of the same instance
+	shardsOfEndedPins map[fleet.Unit]bool       // shards of the pins that have no owner
 }
 
-// row is what a plan knows about an upstream beside its table entry.
-type row struct {
+// upstreamInfo is the data of the planner about an upstream.
+type upstreamInfo struct {
 	*Upstream
-	usable  bool  // may own units
-	why     Cause // why not
-	warmth  float64
-	count   int // shards owned
-	target  int
-	pending int // shards owned with an unfinished handover
-	load    float64
-	report  Report
+	usable        bool    // may own units
+	unusableCause Cause   // why it is not usable; empty if it is
+	warmShare     float64 // share of its slots that it can use now, from 0 to 1
+	shards        int     // shards owned
+	targetShards  int     // shards that it should own
+	pending       int     // shards owned with an unfinished handover
+	expectedLoad  float64 // in requests/s, including the pins placed by this plan
+	report        Report
 }
 
-func newPlan(now time.Time, in Input) *plan {
+func newPlanner(now time.Time, in Input) *planner {
 	if in.Current == nil {
 		in.Current = &Assignment{}
 	}
-	p := &plan{now: now, in: in, current: in.Current, listed: map[fleet.UpstreamID]platform.Listed{}}
+	p := &planner{now: now, input: in, current: in.Current, listed: map[fleet.UpstreamID]platform.Listed{}}
 	next := *in.Current
 	next.Upstreams = slices.Clone(next.Upstreams)
-	if next.spans == nil {
-		next.index()
+	if next.serviceRanges == nil {
+		next.buildIndex()
 	}
 	next.NextFence = max(next.NextFence, 1)
 	p.next = &next
@@ -144,111 +147,116 @@
 	return p
 }
 
-func (p *plan) move(m Move) {
+func (p *planner) addMove(m Move) {
 	p.moves = append(p.moves, m)
 	p.changed = true
 }
 
-func (p *plan) note(cause Cause, to fleet.UpstreamID, format string, args ...any) {
-	p.move(Move{To: to, Cause: cause, Detail: fmt.Sprintf(format, args...)})
+func (p *planner) addChange(cause Cause, to fleet.UpstreamID, format string, args ...any) {
+	p.addMove(Move{To: to, Cause: cause, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (p *plan) fence() fleet.Fence {
+func (p *planner) takeFence() fleet.Fence {
 	f := p.next.NextFence
 	p.next.NextFence++
 	return f
 }
 
-// unit returns unit i for a change. Previous is shared with the current
-// assignment and is replaced, never written to.
-func (p *plan) unit(i int) *Ownership {
-	if !p.copied {
+// writableUnit returns unit i for modification and copies Units at the first call.
+// The slice Previous remains shared with the current assignment: replace it, but
+// do not modify its elements.
+func (p *planner) writableUnit(i int) *Ownership {
+	if !p.unitsCopied {
 		p.next.Units = slices.Clone(p.next.Units)
-		p.copied = true
+		p.unitsCopied = true
 	}
 	p.changed = true
 	return &p.next.Units[i]
 }
 
-// give makes to, possibly nobody, the owner of unit i under a new fence.
-func (p *plan) give(i int, to fleet.UpstreamID, cause Cause, detail string) {
-	u := p.unit(i)
+// setOwner makes to the owner of unit i under a new fence. An empty to leaves the
+// unit without an owner.
+func (p *planner) setOwner(i int, to fleet.UpstreamID, cause Cause, detail string) {
+	u := p.writableUnit(i)
 	from := u.Owner
 	if from != "" && !slices.Contains(u.Previous, from) {
 		u.Previous = append(slices.Clip(u.Previous), from)
 	}
-	u.Owner, u.Fence = to, p.fence()
-	p.move(Move{Unit: u.Unit, From: from, To: to, Fence: u.Fence, Cause: cause, Detail: detail})
+	u.Owner, u.Fence = to, p.takeFence()
+	p.addMove(Move{Unit: u.Unit, From: from, To: to, Fence: u.Fence, Cause: cause, Detail: detail})
 }
 
-// addUnits inserts units, which keeps the numbers of the units before them.
-func (p *plan) addUnits(added []Ownership) {
+// addUnits inserts units at their sorted positions.
+func (p *planner) addUnits(added []Ownership) {
 	if len(added) == 0 {
 		return
 	}
 	units := append(slices.Clone(p.next.Units), added...)
 	slices.SortFunc(units, func(a, b Ownership) int { return compareUnits(a.Unit, b.Unit) })
-	p.setUnits(units)
+	p.replaceUnits(units)
 }
 
-// setUnits replaces the units after insertions or deletions.
-func (p *plan) setUnits(units []Ownership) {
-	p.next.Units, p.copied, p.changed = units, true, true
-	p.next.index()
+// replaceUnits sets the unit table after insertions or deletions and rebuilds the
+// index.
+func (p *planner) replaceUnits(units []Ownership) {
+	p.next.Units, p.unitsCopied, p.changed = units, true, true
+	p.next.buildIndex()
 }
 
-// completeHandovers forgets previous owners of units whose present grant is
-// reported. A unit without an owner is reported by each previous owner's
-// dispatcher on its own, once that upstream has released it.
-func (p *plan) completeHandovers() {
-	at := p.pendingUnits()
-	if len(at) == 0 {
+// completeHandovers clears the previous owners of units whose current fence is
+// reported as granted. For a unit without an owner, the dispatcher of each previous
+// owner reports separately when that upstream has released the unit. A pin without
+// an owner is deleted once all have.
+func (p *planner) completeHandovers() {
+	inHandover := p.unitsInHandover()
+	if len(inHandover) == 0 {
 		return
 	}
-	gone := map[int]bool{}
-	for _, id := range sortedKeys(p.in.Reports) {
-		for _, g := range p.in.Reports[id].Granted {
-			i, ok := at[g]
+	releasedPins := map[int]bool{}
+	for _, id := range sortedKeys(p.input.Reports) {
+		for _, g := range p.input.Reports[id].Granted {
+			i, ok := inHandover[g]
 			if !ok {
 				continue
 			}
 			switch o := p.next.Units[i]; {
 			case o.Owner == id:
-				p.unit(i).Previous = nil
+				p.writableUnit(i).Previous = nil
 			case o.Owner == "" && slices.Contains(o.Previous, id):
-				u := p.unit(i)
+				u := p.writableUnit(i)
 				u.Previous = slices.DeleteFunc(slices.Clone(o.Previous), func(x fleet.UpstreamID) bool { return x == id })
-				gone[i] = len(u.Previous) == 0 && u.Unit.Pin != ""
+				releasedPins[i] = len(u.Previous) == 0 && u.Unit.Pin != ""
 			}
 		}
 	}
-	p.deleteUnits(func(i int) bool { return gone[i] })
+	p.deleteUnits(func(i int) bool { return releasedPins[i] })
 }
 
-// pendingUnits finds the units with an unfinished handover by present grant.
-func (p *plan) pendingUnits() map[fleet.Grant]int {
-	at := map[fleet.Grant]int{}
+// unitsInHandover returns the indexes of the units with an unfinished handover, by
+// the grant that completes it.
+func (p *planner) unitsInHandover() map[fleet.Grant]int {
+	inHandover := map[fleet.Grant]int{}
 	for i := range p.next.Units {
 		if o := &p.next.Units[i]; len(o.Previous) > 0 {
-			at[fleet.Grant{Unit: o.Unit, Fence: o.Fence}] = i
+			inHandover[fleet.Grant{Unit: o.Unit, Fence: o.Fence}] = i
 		}
 	}
-	return at
+	return inHandover
 }
 
-func (p *plan) deleteUnits(dead func(i int) bool) {
+func (p *planner) deleteUnits(remove func(i int) bool) {
 	var units []Ownership
 	for i := range p.next.Units {
-		if dead(i) && units == nil {
+		if remove(i) && units == nil {
 			units = slices.Clone(p.next.Units[:i])
 			if units == nil {
 				units = []Ownership{}
 			}
-		} else if units != nil && !dead(i) {
+		} else if units != nil && !remove(i) {
 			units = append(units, p.next.Units[i])
 		}
 	}
 	if units != nil {
-		p.setUnits(units)
+		p.replaceUnits(units)
 	}
 }
--- a/internal/assignment/plan_test.go
+++ b/internal/assignment/plan_test.go
@@ -11,141 +11,144 @@
 	"pgregory.net/rapid"
 )
 
-// mutate applies one random event to the world.
-func (w *world) mutate(t *rapid.T) {
+// applyRandomEvent changes the planner's input by one random event.
+func (fx *fixture) applyRandomEvent(t *rapid.T) {
 	up := fmt.Sprintf("u%d", rapid.IntRange(0, 5).Draw(t, "upstream"))
 	inst := fleet.InstanceID(fmt.Sprintf("i%d", rapid.IntRange(0, 3).Draw(t, "instance")))
 	zone := fmt.Sprintf("z%d", rapid.IntRange(0, 2).Draw(t, "zone"))
-	yes := rapid.Bool().Draw(t, "yes")
-	r := w.reports[fleet.UpstreamID(up)]
+	on := rapid.Bool().Draw(t, "yes")
+	r := fx.reports[fleet.UpstreamID(up)]
 	switch rapid.IntRange(0, 12).Draw(t, "event") {
 	case 0, 1:
-		w.list(up, "s", zone, rapid.SampledFrom([]platform.State{platform.StateLive, platform.StateLive, platform.StateLeaving}).Draw(t, "state"))
+		fx.listUpstream(up, "s", zone, rapid.SampledFrom([]platform.State{platform.StateLive, platform.StateLive, platform.StateLeaving}).Draw(t, "state"))
 	case 2:
-		delete(w.listed, up)
+		delete(fx.listed, up)
 	case 3:
-		w.join(string(inst), zone, rapid.SampledFrom([]string{"b1", "b2"}).Draw(t, "boot"))
+		fx.joinInstance(string(inst), zone, rapid.SampledFrom([]string{"b1", "b2"}).Draw(t, "boot"))
 	case 4:
-		w.lost[inst] = yes
+		fx.lost[inst] = on
 	case 5:
-		w.leaving[inst] = yes
+		fx.leaving[inst] = on
 	case 6:
-		w.out(catalogue.OutageZone, zone, yes)
+		fx.setOutOfService(catalogue.OutageZone, zone, on)
 	case 7:
-		w.out(catalogue.OutageUpstream, up, yes)
+		fx.setOutOfService(catalogue.OutageUpstream, up, on)
 	case 8:
-		w.warm(fleet.UpstreamID(up), fleet.Slots(rapid.IntRange(0, 6).Draw(t, "limit")))
+		fx.setSlotLimit(fleet.UpstreamID(up), fleet.Slots(rapid.IntRange(0, 6).Draw(t, "limit")))
 		return
 	case 9:
-		r.Lost = yes
+		r.Lost = on
 	case 10:
-		w.learned = yes
+		fx.learned = on
 	case 11:
-		w.granted = yes
+		fx.grantsReported = on
 	case 12:
 		r.Load = rapid.Float64Range(0, 500).Draw(t, "load")
 		r.Hot = nil
-		if yes {
+		if on {
 			r.Hot = []HotKey{{Key: fleet.RoutingKey("k" + up), Rate: r.Load / 2}}
 		}
-		w.now = w.now.Add(4 * time.Second)
+		fx.now = fx.now.Add(4 * time.Second)
 	}
-	for id, b := range w.lost {
+	for id, b := range fx.lost {
 		if !b {
-			delete(w.lost, id)
+			delete(fx.lost, id)
 		}
 	}
-	for id, b := range w.leaving {
+	for id, b := range fx.leaving {
 		if !b {
-			delete(w.leaving, id)
+			delete(fx.leaving, id)
 		}
 	}
-	w.reports[fleet.UpstreamID(up)] = r
+	fx.reports[fleet.UpstreamID(up)] = r
 }
 
-func randomWorld(t *rapid.T) *world {
-	w := newWorld()
-	w.service("s", rapid.IntRange(1, 24).Draw(t, "shards"), 6, 1)
-	w.service("t", 2, 6, 6)
-	w.join("i0", "z0", "b1")
+func randomFixture(t *rapid.T) *fixture {
+	fx := newFixture()
+	fx.addService("s", rapid.IntRange(1, 24).Draw(t, "shards"), 6, 1)
+	fx.addService("t", 2, 6, 6)
+	fx.joinInstance("i0", "z0", "b1")
 	for i := range rapid.IntRange(1, 6).Draw(t, "upstreams") {
 		id := fmt.Sprintf("u%d", i)
-		w.list(id, "s", fmt.Sprintf("z%d", i%3), platform.StateLive)
-		w.warm(fleet.UpstreamID(id), 6)
+		fx.listUpstream(id, "s", fmt.Sprintf("z%d", i%3), platform.StateLive)
+		fx.setSlotLimit(fleet.UpstreamID(id), 6)
 	}
-	w.list("v", "t", "z0", platform.StateLive)
-	return w
+	fx.listUpstream("v", "t", "z0", platform.StateLive)
+	return fx
 }
 
-// Guards against two owners of a unit, fences that go back, a previous owner
-// forgotten before the grant, an early member list change and a table without
-// an upstream that a unit names; see checkStep. It also guards against a planner
-// that never settles.
+// TestPlanInvariants applies random events, checks each plan with checkStep, and
+// checks that the planner reaches a state in which it makes no more changes. It
+// guards against two owners of a unit, fences that decrease, previous owners removed
+// before the grant, member list changes before the last one was learned, and units
+// that refer to an upstream missing from the table.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := randomWorld(t)
+		fx := randomFixture(t)
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			w.mutate(t)
-			if _, _, err := w.plan(); err != nil {
+			fx.applyRandomEvent(t)
+			if _, _, err := fx.plan(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := w.settle(); err != nil {
+		if err := fx.settle(); err != nil {
 			t.Fatal(err)
 		}
-		// Moves that nothing requires wait until the last plan was learned.
-		w.learned = true
-		if err := w.settle(); err != nil {
+		// Optional moves are made only once the last plan was learned.
+		fx.learned = true
+		if err := fx.settle(); err != nil {
 			t.Fatal(err)
 		}
-		w.checkSettled(t)
+		fx.checkSettled(t)
 	})
 }
 
-// checkSettled verifies where units are once the planner is at rest.
-func (w *world) checkSettled(t *rapid.T) {
-	count := map[fleet.UpstreamID]int{}
-	for _, o := range w.current.Units {
+// checkSettled checks the distribution of shards once the planner makes no more
+// changes.
+func (fx *fixture) checkSettled(t *rapid.T) {
+	shards := map[fleet.UpstreamID]int{}
+	for _, o := range fx.current.Units {
 		if o.Unit.Service == "s" && o.Unit.Pin == "" {
-			count[o.Owner]++
+			shards[o.Owner]++
 		}
 	}
-	warm, others := true, false
+	allWarm, anyUsable := true, false
 	low, high := 1<<30, 0
-	for _, u := range w.current.Upstreams {
-		_, out := w.cat.Out(catalogue.OutageUpstream, string(u.ID))
-		_, zone := w.cat.Out(catalogue.OutageZone, string(u.Zone))
+	for _, u := range fx.current.Upstreams {
+		_, out := fx.catalogue.Out(catalogue.OutageUpstream, string(u.ID))
+		_, zone := fx.catalogue.Out(catalogue.OutageZone, string(u.Zone))
 		if u.Service != "s" || out || zone || u.State != Live || u.Dispatcher == "" {
 			continue
 		}
-		others = true
-		warm = warm && w.reports[u.ID].Limit == 6
-		low, high = min(low, count[u.ID]), max(high, count[u.ID])
-		delete(count, u.ID)
+		anyUsable = true
+		allWarm = allWarm && fx.reports[u.ID].Limit == 6
+		low, high = min(low, shards[u.ID]), max(high, shards[u.ID])
+		delete(shards, u.ID)
 	}
-	if warm && others && w.granted && high > low+1 {
-		t.Fatalf("between %d and %d shards per upstream:%s", low, high, w.owners())
+	if allWarm && anyUsable && fx.grantsReported && high > low+1 {
+		t.Fatalf("between %d and %d shards per upstream:%s", low, high, fx.ownerSummary())
 	}
-	if others && w.granted && len(count) > 0 {
-		t.Fatalf("shards remain with %v though others are in service", count)
+	if anyUsable && fx.grantsReported && len(shards) > 0 {
+		t.Fatalf("unusable upstreams own shards although others are usable: %v", shards)
 	}
 }
 
-// Guards against moves that the loss of an upstream does not need.
+// TestLossMovesOnlyItsUnits guards against moving units of other upstreams when an
+// upstream is lost.
 func TestLossMovesOnlyItsUnits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := randomWorld(t)
-		if err := w.settle(); err != nil {
+		fx := randomFixture(t)
+		if err := fx.settle(); err != nil {
 			t.Fatal(err)
 		}
 		owned := 0
-		for _, o := range w.current.Units {
+		for _, o := range fx.current.Units {
 			if o.Owner == "u0" {
 				owned++
 			}
 		}
-		w.reports["u0"] = Report{Lost: true}
-		moves, _, err := w.plan()
+		fx.reports["u0"] = Report{Lost: true}
+		moves, _, err := fx.plan()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,12 +160,13 @@
 			}
 		}
 		if owned < 0 {
-			t.Fatalf("%d moves too many", -owned)
+			t.Fatalf("%d more moves than units owned by the lost upstream", -owned)
 		}
 	})
 }
 
-// Guards against a bucket whose home changes without need, or is out of service.
+// TestHome guards against a home that changes although its instance remains, and
+// against a home on a draining instance.
 func TestHome(t *testing.T) {
 	a := &Assignment{}
 	for i := range 5 {
@@ -180,78 +184,79 @@
 		}
 	}
 	if len(seen) != 5 {
-		t.Fatalf("homes %v", seen)
+		t.Fatalf("homes %v, want all 5 members", seen)
 	}
 }
 
-// big returns a settled world with n shards over services of at most 10,000.
-func big(n int) *world {
-	w := newWorld()
+// largeFixture returns a fixture with n shards in services of at most 10,000 shards,
+// with an assignment in which all shards have owners.
+func largeFixture(n int) *fixture {
+	fx := newFixture()
 	for i := range 12 {
-		w.join(fmt.Sprintf("i%02d", i), fmt.Sprintf("z%d", i%4), "b")
+		fx.joinInstance(fmt.Sprintf("i%02d", i), fmt.Sprintf("z%d", i%4), "b")
 	}
 	for s := 0; s*10_000 < n; s++ {
 		service := fmt.Sprintf("s%03d", s)
-		w.service(service, min(n, 10_000), 6, 1)
+		fx.addService(service, min(n, 10_000), 6, 1)
 		for u := range 32 {
 			id := fmt.Sprintf("%s-u%02d", service, u)
-			w.list(id, service, fmt.Sprintf("z%d", u%4), platform.StateLive)
-			w.warm(fleet.UpstreamID(id), 6)
+			fx.listUpstream(id, service, fmt.Sprintf("z%d", u%4), platform.StateLive)
+			fx.setSlotLimit(fleet.UpstreamID(id), 6)
 		}
 	}
-	in := w.input()
+	in := fx.input()
 	for range 2 {
-		in.Current, _, _ = Plan(w.now, in)
+		in.Current, _, _ = Plan(fx.now, in)
 	}
-	w.current = in.Current
-	return w
+	fx.current = in.Current
+	return fx
 }
 
-func sizes(b *testing.B, f func(b *testing.B, w *world)) {
+func benchmarkSizes(b *testing.B, f func(b *testing.B, fx *fixture)) {
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := big(n)
+			fx := largeFixture(n)
 			b.ReportAllocs()
 			b.ResetTimer()
-			f(b, w)
+			f(b, fx)
 		})
 	}
 }
 
 func BenchmarkPlanUnchanged(b *testing.B) {
-	sizes(b, func(b *testing.B, w *world) {
-		in := w.input()
+	benchmarkSizes(b, func(b *testing.B, fx *fixture) {
+		in := fx.input()
 		for b.Loop() {
-			if _, _, changed := Plan(w.now, in); changed {
-				b.Fatal("not settled")
+			if _, _, changed := Plan(fx.now, in); changed {
+				b.Fatal("plan changed the assignment")
 			}
 		}
 	})
 }
 
 func BenchmarkPlanUpstreamLost(b *testing.B) {
-	sizes(b, func(b *testing.B, w *world) {
-		in := w.input()
+	benchmarkSizes(b, func(b *testing.B, fx *fixture) {
+		in := fx.input()
 		in.Reports["s000-u00"] = Report{Lost: true}
 		for b.Loop() {
-			if _, _, changed := Plan(w.now, in); !changed {
-				b.Fatal("unchanged")
+			if _, _, changed := Plan(fx.now, in); !changed {
+				b.Fatal("plan did not change the assignment")
 			}
 		}
 	})
 }
 
 func BenchmarkEncode(b *testing.B) {
-	sizes(b, func(b *testing.B, w *world) {
+	benchmarkSizes(b, func(b *testing.B, fx *fixture) {
 		for b.Loop() {
-			b.ReportMetric(float64(len(w.current.Encode())), "bytes")
+			b.ReportMetric(float64(len(fx.current.Encode())), "bytes")
 		}
 	})
 }
 
 func BenchmarkDecode(b *testing.B) {
-	sizes(b, func(b *testing.B, w *world) {
-		data := w.current.Encode()
+	benchmarkSizes(b, func(b *testing.B, fx *fixture) {
+		data := fx.current.Encode()
 		for b.Loop() {
 			if _, err := Decode(data); err != nil {
 				b.Fatal(err)
@@ -261,9 +266,9 @@
 }
 
 func BenchmarkOwner(b *testing.B) {
-	sizes(b, func(b *testing.B, w *world) {
+	benchmarkSizes(b, func(b *testing.B, fx *fixture) {
 		for b.Loop() {
-			if _, ok := w.current.Owner("s000", "some-key", 10_000); !ok {
+			if _, ok := fx.current.Owner("s000", "some-key", 10_000); !ok {
 				b.Fatal("no owner")
 			}
 		}
--- a/internal/assignment/relief.go
+++ b/internal/assignment/relief.go
@@ -8,94 +8,97 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// A swap costs two handovers, so swaps are few, and they wait until the averages
-// that dispatchers report have followed the last one.
+// Each swap costs two handovers. Therefore swaps are rate-limited, which also gives
+// the averages reported by dispatchers time to reflect the last swap.
 const (
-	swapPeriod = 3 * time.Second // per service
-	// swapAbove is the load relative to the mean from which an upstream is
-	// relieved. At 35% utilisation on average it still queues little.
-	swapAbove = 1.2
-	// swapRate is the load above the mean below which no swap is worth it, in
-	// requests/s.
-	swapRate = 5
+	swapInterval = 3 * time.Second // per service
+	// minSwapLoadRatio is the lowest ratio of an upstream's load to the mean load at
+	// which one of its shards is swapped. At an average utilisation of 35%, an
+	// upstream with this ratio still queues few requests.
+	minSwapLoadRatio = 1.2
+	// minSwapExcessRate is the lowest difference from the mean load, in requests/s, at
+	// which a shard is swapped.
+	minSwapExcessRate = 5
 )
 
-// relieve swaps a busy shard of the busiest upstream of each service for a quiet
-// one of the least busy. Shards are equal in number, not in load, and a queue at
-// one upstream cannot be served by another.
-func (p *plan) relieve() {
+// swapBusyShards swaps, in each service without unfinished handovers, a busy shard
+// of the upstream with the highest load for a quiet shard of the one with the
+// lowest. Upstreams own equal numbers of shards, but the shards differ in load, and
+// requests that queue at one upstream cannot be served by another.
+func (p *planner) swapBusyShards() {
 	for _, id := range p.serviceIDs() {
-		if last, ok := p.in.LastSwap[id]; ok && p.now.Sub(last) < swapPeriod {
+		if last, ok := p.input.LastSwap[id]; ok && p.now.Sub(last) < swapInterval {
 			continue
 		}
-		if s := p.next.spans[id]; !p.handingOver(s) {
-			p.swap(s, id)
+		if s := p.next.serviceRanges[id]; !p.hasHandover(s) {
+			p.swapShards(s, id)
 		}
 	}
 }
 
-func (p *plan) handingOver(s span) bool {
-	return slices.ContainsFunc(p.next.Units[s.lo:s.hi], func(o Ownership) bool { return len(o.Previous) > 0 })
+func (p *planner) hasHandover(s unitRange) bool {
+	return slices.ContainsFunc(p.next.Units[s.start:s.end], func(o Ownership) bool { return len(o.Previous) > 0 })
 }
 
-func (p *plan) swap(s span, id fleet.ServiceID) {
-	var busiest, quietest *row
+func (p *planner) swapShards(s unitRange, id fleet.ServiceID) {
+	var busiest, quietest *upstreamInfo
 	sum, n := 0.0, 0
-	for _, r := range p.services[id] {
-		if !r.usable || r.warmth < 1 {
+	for _, u := range p.infosByService[id] {
+		if !u.usable || u.warmShare < 1 {
 			continue
 		}
-		sum += r.report.Average
+		sum += u.report.Average
 		n++
-		if busiest == nil || r.report.Average > busiest.report.Average {
-			busiest = r
+		if busiest == nil || u.report.Average > busiest.report.Average {
+			busiest = u
 		}
-		if quietest == nil || r.report.Average < quietest.report.Average {
-			quietest = r
+		if quietest == nil || u.report.Average < quietest.report.Average {
+			quietest = u
 		}
 	}
 	if n < 2 {
 		return
 	}
 	mean := sum / float64(n)
-	if busiest.report.Average < swapAbove*mean || busiest.report.Average < mean+swapRate {
+	if busiest.report.Average < minSwapLoadRatio*mean || busiest.report.Average < mean+minSwapExcessRate {
 		return
 	}
-	hot, ok := p.busyShard(s, busiest, quietest)
+	busy, ok := p.busyShard(s, busiest, quietest)
 	if !ok {
 		return
 	}
-	cold, ok := p.quietShard(s, quietest)
+	quiet, ok := p.quietShard(s, quietest)
 	if !ok {
 		return
 	}
 	detail := fmt.Sprintf("%s has %.0f requests/s, the mean is %.0f", busiest.ID, busiest.report.Average, mean)
-	p.give(hot, quietest.ID, CauseLoad, detail)
-	p.give(cold, busiest.ID, CauseLoad, detail)
+	p.setOwner(busy, quietest.ID, CauseLoad, detail)
+	p.setOwner(quiet, busiest.ID, CauseLoad, detail)
 }
 
-// busyShard returns the shard of the busiest upstream that brings it closest to
-// the middle between the two without passing it.
-func (p *plan) busyShard(s span, busiest, quietest *row) (int, bool) {
-	room := (busiest.report.Average - quietest.report.Average) / 2
-	for _, u := range busiest.report.Units { // the busiest first
-		i := s.lo + int(u.Unit.Shard)
-		if u.Unit.Pin != "" || u.Rate > room || i >= s.pins {
+// busyShard returns the shard of the busiest upstream with the highest rate that is
+// not above half of the difference between the two upstreams' loads.
+func (p *planner) busyShard(s unitRange, busiest, quietest *upstreamInfo) (int, bool) {
+	maxRate := (busiest.report.Average - quietest.report.Average) / 2
+	for _, u := range busiest.report.Units { // in descending order of rate
+		i := s.start + int(u.Unit.Shard)
+		if u.Unit.Pin != "" || u.Rate > maxRate || i >= s.pins {
 			continue
 		}
-		if o := &p.next.Units[i]; o.Unit == u.Unit && o.Owner == busiest.ID && !p.retiring[o.Unit] {
+		if o := &p.next.Units[i]; o.Unit == u.Unit && o.Owner == busiest.ID && !p.shardsOfEndedPins[o.Unit] {
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// quietShard returns a shard of the upstream that is not among its busiest.
-func (p *plan) quietShard(s span, r *row) (int, bool) {
-	for i := s.lo; i < s.pins; i++ {
+// quietShard returns a shard of the upstream that is not among the busiest units in
+// its report.
+func (p *planner) quietShard(s unitRange, owner *upstreamInfo) (int, bool) {
+	for i := s.start; i < s.pins; i++ {
 		o := &p.next.Units[i]
-		busy := slices.ContainsFunc(r.report.Units, func(u UnitLoad) bool { return u.Unit == o.Unit })
-		if o.Owner == r.ID && !busy && !p.retiring[o.Unit] {
+		busy := slices.ContainsFunc(owner.report.Units, func(u UnitLoad) bool { return u.Unit == o.Unit })
+		if o.Owner == owner.ID && !busy && !p.shardsOfEndedPins[o.Unit] {
 			return i, true
 		}
 	}
--- a/internal/assignment/script_test.go
+++ b/internal/assignment/script_test.go
@@ -16,11 +16,11 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-var update = flag.Bool("update", false, "write the moves seen into the scripts")
+var updateScripts = flag.Bool("update", false, "write the planner's output into the scripts in testdata")
 
-// TestScripts guards against a planner that moves something else, or for another
-// reason, than the scripts in testdata say. A line is an event; "plan", "settle"
-// and "owners" print lines that start with ">" and are compared.
+// TestScripts compares the planner's moves and their causes with the scripts in
+// testdata. Each line of a script is a command. The commands "plan", "settle" and
+// "owners" print the lines that start with ">".
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -32,20 +32,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := newWorld()
+			fx := newFixture()
 			var got strings.Builder
 			for n, line := range strings.Split(strings.TrimSuffix(string(want), "\n"), "\n") {
 				if strings.HasPrefix(line, ">") {
 					continue
 				}
 				fmt.Fprintln(&got, line)
-				out, err := w.event(strings.Fields(line))
+				out, err := fx.runCommand(strings.Fields(line))
 				if err != nil {
 					t.Fatalf("%s:%d: %s: %v", file, n+1, line, err)
 				}
 				got.WriteString(out)
 			}
-			if *update {
+			if *updateScripts {
 				if err := os.WriteFile(file, []byte(got.String()), 0o600); err != nil {
 					t.Fatal(err)
 				}
@@ -57,86 +57,84 @@
 	}
 }
 
-func (w *world) event(f []string) (string, error) {
-	if len(f) == 0 || f[0] == "#" {
+func (fx *fixture) runCommand(args []string) (string, error) {
+	if len(args) == 0 || args[0] == "#" {
 		return "", nil
 	}
 	arg := func(i int) string {
-		if i < len(f) {
-			return f[i]
+		if i < len(args) {
+			return args[i]
 		}
 		return ""
 	}
 	num := func(i int) int { n, _ := strconv.Atoi(arg(i)); return n }
 	up, inst := fleet.UpstreamID(arg(1)), fleet.InstanceID(arg(1))
-	report := w.reports[up]
-	switch f[0] {
+	report := fx.reports[up]
+	switch args[0] {
 	case "service":
-		w.service(arg(1), num(2), fleet.Slots(num(3)), fleet.Slots(num(4)))
+		fx.addService(arg(1), num(2), fleet.Slots(num(3)), fleet.Slots(num(4)))
 	case "no-service":
-		w.cat.Services = nil
+		fx.catalogue.Services = nil
 	case "list":
-		w.list(arg(1), arg(2), arg(3), platform.State(arg(4)))
+		fx.listUpstream(arg(1), arg(2), arg(3), platform.State(arg(4)))
 	case "unlist":
-		delete(w.listed, arg(1))
+		delete(fx.listed, arg(1))
 	case "address":
-		l := w.listed[arg(1)]
+		l := fx.listed[arg(1)]
 		l.Address = arg(2)
-		w.listed[arg(1)] = l
+		fx.listed[arg(1)] = l
 	case "join":
-		w.join(arg(1), arg(2), arg(3))
+		fx.joinInstance(arg(1), arg(2), arg(3))
 	case "lost-instance":
-		w.lost[inst] = true
+		fx.lost[inst] = true
 	case "leave":
-		w.leaving[inst] = true
+		fx.leaving[inst] = true
 	case "out", "back":
-		w.out(catalogue.OutageKind(arg(1)), arg(2), f[0] == "out")
+		fx.setOutOfService(catalogue.OutageKind(arg(1)), arg(2), args[0] == "out")
 	case "limit":
-		w.warm(up, fleet.Slots(num(2)))
+		fx.setSlotLimit(up, fleet.Slots(num(2)))
 	case "load":
 		report.Load = float64(num(2))
-		w.reports[up] = report
+		fx.reports[up] = report
 	case "average":
 		report.Average = float64(num(2))
-		w.reports[up] = report
-	case "busy": // the n-th shard that the upstream owns
-		owned := w.shardsOf(up)
+		fx.reports[up] = report
+	case "busy": // rate of the n-th shard that the upstream owns
+		owned := fx.shardsOf(up)
 		report.Units = append(report.Units, UnitLoad{owned[num(2)], float64(num(3))})
-		w.reports[up] = report
+		fx.reports[up] = report
 	case "hot":
 		report.Hot = append(report.Hot, HotKey{fleet.RoutingKey(arg(2)), float64(num(3))})
-		w.reports[up] = report
+		fx.reports[up] = report
 	case "cold":
 		report.Hot = nil
-		w.reports[up] = report
+		fx.reports[up] = report
 	case "lost", "found":
-		report.Lost = f[0] == "lost"
-		w.reports[up] = report
+		report.Lost = args[0] == "lost"
+		fx.reports[up] = report
 	case "learned":
-		w.learned = arg(1) == "yes"
+		fx.learned = arg(1) == "yes"
 	case "granted":
-		w.granted = arg(1) == "yes"
+		fx.grantsReported = arg(1) == "yes"
 	case "after":
-		w.now = w.now.Add(time.Duration(num(1)) * time.Second)
+		fx.now = fx.now.Add(time.Duration(num(1)) * time.Second)
 	case "plan":
-		moves, changed, err := w.plan()
-		return summary(moves, changed), err
+		moves, changed, err := fx.plan()
+		return moveSummary(moves, changed), err
 	case "settle":
-		err := w.settle()
-		return w.owners(), err
+		err := fx.settle()
+		return fx.ownerSummary(), err
 	case "owners":
-		return w.owners(), nil
+		return fx.ownerSummary(), nil
 	default:
-		return "", fmt.Errorf("unknown event")
+		return "", fmt.Errorf("unknown command")
 	}
 	return "", nil
 }
 
-// summary prints moves in order; those of several shards for one reason between
-// the same upstreams are counted.
-// shardsOf returns the shards of an upstream in order.
-func (w *world) shardsOf(up fleet.UpstreamID) (out []fleet.Unit) {
-	for _, o := range w.current.Units {
+// shardsOf returns the shards of an upstream in ascending order.
+func (fx *fixture) shardsOf(up fleet.UpstreamID) (out []fleet.Unit) {
+	for _, o := range fx.current.Units {
 		if o.Owner == up && o.Unit.Pin == "" {
 			out = append(out, o.Unit)
 		}
@@ -144,7 +142,9 @@
 	return out
 }
 
-func summary(moves []Move, changed bool) string {
+// moveSummary formats moves in order, one line each. Moves of several shards with
+// the same cause between the same upstreams share a line that gives their number.
+func moveSummary(moves []Move, changed bool) string {
 	if !changed {
 		return "> unchanged\n"
 	}
@@ -176,21 +176,21 @@
 	return b.String()
 }
 
-func (w *world) owners() string {
-	count := map[fleet.UpstreamID]int{}
+func (fx *fixture) ownerSummary() string {
+	units := map[fleet.UpstreamID]int{}
 	pending := 0
-	for _, u := range w.current.Upstreams {
-		count[u.ID] = 0
+	for _, u := range fx.current.Upstreams {
+		units[u.ID] = 0
 	}
-	for _, o := range w.current.Units {
-		count[o.Owner]++
+	for _, o := range fx.current.Units {
+		units[o.Owner]++
 		if len(o.Previous) > 0 {
 			pending++
 		}
 	}
 	line := ">"
-	for _, id := range sortedKeys(count) {
-		line += fmt.Sprintf(" %s=%d", id, count[id])
+	for _, id := range sortedKeys(units) {
+		line += fmt.Sprintf(" %s=%d", id, units[id])
 	}
 	return fmt.Sprintf("%s pending=%d\n", line, pending)
 }
--- a/internal/assignment/units.go
+++ b/internal/assignment/units.go
@@ -8,18 +8,19 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// maxWarmingHandovers bounds the unfinished handovers to a warming upstream. Each
-// brings requests that queue for its few slots.
+// maxWarmingHandovers limits the unfinished handovers to a warming upstream. Each
+// handover brings requests that queue for the few slots that the upstream can use.
 const maxWarmingHandovers = 4
 
-// changeServices adds the shards of new services and retires those of removed
-// ones: a removed service stays until every upstream has released its units.
-func (p *plan) changeServices() {
-	kept := map[fleet.ServiceID]bool{}
+// updateServices adds the shards of new services and clears the owners of the units
+// of removed services. A removed service remains in the record until every upstream
+// has released its units.
+func (p *planner) updateServices() {
+	inCatalogue := map[fleet.ServiceID]bool{}
 	var added []Ownership
-	for _, s := range p.in.Catalogue.Services {
-		kept[s.ID] = true
-		if _, ok := p.next.spans[s.ID]; ok {
+	for _, s := range p.input.Catalogue.Services {
+		inCatalogue[s.ID] = true
+		if _, ok := p.next.serviceRanges[s.ID]; ok {
 			continue
 		}
 		for i := range s.Shards {
@@ -27,29 +28,29 @@
 		}
 	}
 	p.addUnits(added)
-	dead := map[fleet.ServiceID]bool{}
-	for id, s := range p.next.spans {
-		if kept[id] {
+	removable := map[fleet.ServiceID]bool{}
+	for id, s := range p.next.serviceRanges {
+		if inCatalogue[id] {
 			continue
 		}
-		dead[id] = true
-		for i := s.lo; i < s.hi; i++ {
+		removable[id] = true
+		for i := s.start; i < s.end; i++ {
 			if p.next.Units[i].Owner != "" {
-				p.give(i, "", CauseServiceRemoved, "")
+				p.setOwner(i, "", CauseServiceRemoved, "")
 			}
-			dead[id] = dead[id] && len(p.next.Units[i].Previous) == 0
+			removable[id] = removable[id] && len(p.next.Units[i].Previous) == 0
 		}
 	}
-	if len(dead) > 0 {
-		p.deleteUnits(func(i int) bool { return dead[p.next.Units[i].Unit.Service] })
+	if len(removable) > 0 {
+		p.deleteUnits(func(i int) bool { return removable[p.next.Units[i].Unit.Service] })
 	}
 }
 
-// serviceIDs returns the services of the catalogue that have units.
-func (p *plan) serviceIDs() []fleet.ServiceID {
+// serviceIDs returns the sorted ids of the services in the catalogue that have units.
+func (p *planner) serviceIDs() []fleet.ServiceID {
 	var ids []fleet.ServiceID
-	for _, s := range p.in.Catalogue.Services {
-		if _, ok := p.next.spans[s.ID]; ok {
+	for _, s := range p.input.Catalogue.Services {
+		if _, ok := p.next.serviceRanges[s.ID]; ok {
 			ids = append(ids, s.ID)
 		}
 	}
@@ -57,178 +58,186 @@
 	return ids
 }
 
-// distribute gives shards without a usable owner to usable upstreams, then moves
-// shards from those above their target to those below. If no upstream of the
-// service is usable, the owners stay, and requests are refused.
-func (p *plan) distribute(id fleet.ServiceID) {
-	s := p.next.spans[id]
-	var usable []*row
-	for _, r := range p.services[id] {
-		if r.usable {
-			usable = append(usable, r)
-		}
-	}
-	p.findRetiring(s)
-	evicted := p.count(s)
+// distributeShards assigns shards without a usable owner to usable upstreams, then
+// moves shards from upstreams above their target to upstreams below it. If no
+// upstream of the service is usable, owners stay as they are, and requests are
+// refused.
+func (p *planner) distributeShards(id fleet.ServiceID) {
+	s := p.next.serviceRanges[id]
+	var usable []*upstreamInfo
+	for _, u := range p.infosByService[id] {
+		if u.usable {
+			usable = append(usable, u)
+		}
+	}
+	p.findShardsOfEndedPins(s)
+	unplaced := p.countShards(s)
 	if len(usable) == 0 {
 		return
 	}
-	setTargets(usable, s.pins-s.lo)
-	noWarm := !slices.ContainsFunc(usable, func(r *row) bool { return r.warmth >= 1 })
-	for _, i := range evicted {
+	setTargets(usable, s.pins-s.start)
+	noneWarm := !slices.ContainsFunc(usable, func(u *upstreamInfo) bool { return u.warmShare >= 1 })
+	for _, i := range unplaced {
 		from, cause := p.next.Units[i].Owner, CauseNewService
-		if r := p.byID[from]; r != nil {
-			cause = r.why
+		if u := p.infoByID[from]; u != nil {
+			cause = u.unusableCause
 		}
-		to := neediest(usable, noWarm, math.MaxInt)
-		p.take(i, to, cause)
+		to := furthestBelowTarget(usable, noneWarm, math.MaxInt)
+		p.placeShard(i, to, cause)
 	}
-	// Moves that nothing requires wait until the last plan was learned. Otherwise a
-	// refill of a zone, which takes many plans, would hold off changes of the member
-	// list, which need that too: an instance could not leave within 10 s.
-	if p.in.Learned {
-		p.balance(s, usable)
+	// Optional moves wait until the last plan was learned. Otherwise, moving shards
+	// back into a zone, which takes many plans, would delay changes of the member
+	// list, which also require that the last plan was learned, and an instance could
+	// not leave within 10 s.
+	if p.input.Learned {
+		p.balanceShards(s, usable)
 	}
 }
 
-// findRetiring notes the shards of pins without an owner. They stay where they
-// are while their upstream lives, because it has not yet released the pin.
-func (p *plan) findRetiring(s span) {
-	p.retiring = nil
-	for i := s.pins; i < s.hi; i++ {
+// findShardsOfEndedPins records the shards of pins without an owner. Such a shard
+// stays with its owner unless that upstream is lost, because the upstream has not
+// released the pin yet.
+func (p *planner) findShardsOfEndedPins(s unitRange) {
+	p.shardsOfEndedPins = nil
+	for i := s.pins; i < s.end; i++ {
 		if o := &p.next.Units[i]; o.Owner == "" {
-			if p.retiring == nil {
-				p.retiring = map[fleet.Unit]bool{}
+			if p.shardsOfEndedPins == nil {
+				p.shardsOfEndedPins = map[fleet.Unit]bool{}
 			}
-			p.retiring[p.next.Units[s.shardOf(o.Unit.Pin)].Unit] = true
+			p.shardsOfEndedPins[p.next.Units[s.shardOf(o.Unit.Pin)].Unit] = true
 		}
 	}
 }
 
-func (s span) shardOf(key fleet.RoutingKey) int { return s.lo + int(key.Shard(s.pins-s.lo)) }
+func (s unitRange) shardOf(key fleet.RoutingKey) int { return s.start + int(key.Shard(s.pins-s.start)) }
 
-// count counts the shards of each upstream and returns those to be placed.
-func (p *plan) count(s span) (evicted []int) {
-	for i := s.lo; i < s.pins; i++ {
+// countShards sets the shard counts of the upstreams and returns the indexes of the
+// shards that need a new owner.
+func (p *planner) countShards(s unitRange) (unplaced []int) {
+	for i := s.start; i < s.pins; i++ {
 		o := &p.next.Units[i]
-		r := p.byID[o.Owner]
-		if r == nil || !r.usable && (r.why == CauseUpstreamLost || !p.retiring[o.Unit]) {
-			evicted = append(evicted, i)
+		owner := p.infoByID[o.Owner]
+		if owner == nil || !owner.usable && (owner.unusableCause == CauseUpstreamLost || !p.shardsOfEndedPins[o.Unit]) {
+			unplaced = append(unplaced, i)
 			continue
 		}
-		r.count++
+		owner.shards++
 		if len(o.Previous) > 0 {
-			r.pending++
+			owner.pending++
 		}
 	}
-	return evicted
+	return unplaced
 }
 
-// open reports whether the upstream may take another shard now.
-func (r *row) open() bool { return r.warmth >= 1 || r.pending < maxWarmingHandovers }
+// acceptsMore reports whether the upstream may receive another shard in this plan.
+func (u *upstreamInfo) acceptsMore() bool { return u.warmShare >= 1 || u.pending < maxWarmingHandovers }
 
-// neediest returns the upstream with fewer than most shards that is furthest
-// below its target. Warming upstreams at their bound are passed over unless there
-// is no warm one.
-func neediest(usable []*row, noWarm bool, most int) *row {
-	var best *row
-	for _, r := range usable {
-		if r.count >= most || !noWarm && !r.open() {
+// furthestBelowTarget returns, of the upstreams with fewer than shardLimit shards,
+// the one that is furthest below its target, or nil. Unless noneWarm is set, it
+// skips warming upstreams that have reached maxWarmingHandovers.
+func furthestBelowTarget(usable []*upstreamInfo, noneWarm bool, shardLimit int) *upstreamInfo {
+	var best *upstreamInfo
+	for _, u := range usable {
+		if u.shards >= shardLimit || !noneWarm && !u.acceptsMore() {
 			continue
 		}
-		if best == nil || r.count-r.target < best.count-best.target {
-			best = r
+		if best == nil || u.shards-u.targetShards < best.shards-best.targetShards {
+			best = u
 		}
 	}
 	return best
 }
 
-func (p *plan) take(i int, to *row, cause Cause) {
-	p.give(i, to.ID, cause, "")
-	to.count++
+func (p *planner) placeShard(i int, to *upstreamInfo, cause Cause) {
+	p.setOwner(i, to.ID, cause, "")
+	to.shards++
 	to.pending++
 }
 
-// balance moves shards with no unfinished handover towards the targets.
-func (p *plan) balance(s span, usable []*row) {
-	for i := s.lo; i < s.pins; i++ {
+// balanceShards moves shards without an unfinished handover from upstreams above
+// their target to upstreams below it.
+func (p *planner) balanceShards(s unitRange, usable []*upstreamInfo) {
+	for i := s.start; i < s.pins; i++ {
 		o := &p.next.Units[i]
-		from := p.byID[o.Owner]
-		if from == nil || !from.usable || from.count <= from.target || len(o.Previous) > 0 || p.retiring[o.Unit] {
+		from := p.infoByID[o.Owner]
+		if from == nil || !from.usable || from.shards <= from.targetShards || len(o.Previous) > 0 || p.shardsOfEndedPins[o.Unit] {
 			continue
 		}
-		// A cold upstream does not give to one that has as many.
-		to := neediest(usable, false, from.count-1)
-		if to == nil || to.count >= to.target {
+		// The limit of from.shards-1 keeps a cold upstream, whose target is low, from
+		// giving a shard to an upstream that would then own more than it does.
+		to := furthestBelowTarget(usable, false, from.shards-1)
+		if to == nil || to.shards >= to.targetShards {
 			continue
 		}
 		cause := CauseBalance
-		if to.warmth < 1 {
+		if to.warmShare < 1 {
 			cause = CauseWarming
 		}
-		from.count--
-		p.take(i, to, cause)
+		from.shards--
+		p.placeShard(i, to, cause)
 	}
 }
 
-// setTargets divides n shards in proportion to warmth. An upstream that turned
-// cold keeps what it has up to an equal share: it warms again within about
-// a second of requests, sooner than handovers would pay.
-func setTargets(rows []*row, n int) {
-	equal := (n + len(rows) - 1) / len(rows)
-	rest := slices.Clone(rows)
+// setTargets divides n shards among the upstreams in proportion to their warm
+// shares. An upstream that turned cold keeps its shards up to an equal share: it
+// is warm again after about a second of requests, before handovers would pay off.
+func setTargets(infos []*upstreamInfo, n int) {
+	equalShare := (n + len(infos) - 1) / len(infos)
+	remaining := slices.Clone(infos)
 	for {
 		total := 0.0
-		for _, r := range rest {
-			total += r.warmth
-		}
-		held := false
-		left := n
-		rest = slices.DeleteFunc(rest, func(r *row) bool {
-			r.target = int(float64(n) * r.warmth / total)
-			if r.warmth < 1 && r.count > r.target {
-				r.target = min(r.count, equal)
-				left -= r.target
-				held = true
+		for _, u := range remaining {
+			total += u.warmShare
+		}
+		fixed := false
+		shardsLeft := n
+		remaining = slices.DeleteFunc(remaining, func(u *upstreamInfo) bool {
+			u.targetShards = int(float64(n) * u.warmShare / total)
+			if u.warmShare < 1 && u.shards > u.targetShards {
+				u.targetShards = min(u.shards, equalShare)
+				shardsLeft -= u.targetShards
+				fixed = true
 				return true
 			}
 			return false
 		})
-		if !held {
-			share(rest, n, total)
+		if !fixed {
+			divideShards(remaining, n, total)
 			return
 		}
-		n = max(left, 0)
-		if len(rest) == 0 {
+		n = max(shardsLeft, 0)
+		if len(remaining) == 0 {
 			return
 		}
 	}
 }
 
-// share sets targets that sum up to n. What the rounding leaves goes to those
-// that hold it already, so that a settled table does not move.
-func share(rows []*row, n int, total float64) {
+// divideShards sets targets in proportion to the warm shares, which add up to
+// total, so that the targets add up to n. The shards that are left after rounding
+// down go first to upstreams that already own more than their rounded target, so
+// that a balanced assignment does not change.
+func divideShards(infos []*upstreamInfo, n int, total float64) {
 	type part struct {
-		*row
+		*upstreamInfo
 		fraction float64
 	}
-	parts := make([]part, len(rows))
-	for i, r := range rows {
-		exact := float64(n) * r.warmth / total
-		r.target = int(math.Floor(exact))
-		parts[i] = part{r, exact - math.Floor(exact)}
+	parts := make([]part, len(infos))
+	for i, u := range infos {
+		exact := float64(n) * u.warmShare / total
+		u.targetShards = int(math.Floor(exact))
+		parts[i] = part{u, exact - math.Floor(exact)}
 	}
-	left := n
-	for _, r := range rows {
-		left -= r.target
+	shardsLeft := n
+	for _, u := range infos {
+		shardsLeft -= u.targetShards
 	}
 	slices.SortStableFunc(parts, func(a, b part) int {
-		if holds := cmp.Compare(min(b.count-b.target, 1), min(a.count-a.target, 1)); holds != 0 {
-			return holds
+		if byHeld := cmp.Compare(min(b.shards-b.targetShards, 1), min(a.shards-a.targetShards, 1)); byHeld != 0 {
+			return byHeld
 		}
 		return cmp.Compare(b.fraction, a.fraction)
 	})
-	for i := range min(left, len(parts)) {
-		parts[i].target++
+	for i := range min(shardsLeft, len(parts)) {
+		parts[i].targetShards++
 	}
 }
--- a/internal/assignment/upstreams.go
+++ b/internal/assignment/upstreams.go
@@ -9,18 +9,19 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// changeUpstreams adds listed upstreams and updates the states of the others.
-func (p *plan) changeUpstreams() {
+// updateUpstreams updates the states of the upstreams in the table and adds newly
+// listed ones.
+func (p *planner) updateUpstreams() {
 	for i := range p.next.Upstreams {
 		u := &p.next.Upstreams[i]
-		if state, cause := p.state(u); state != u.State {
-			p.note(cause, u.ID, "upstream %s was %s, is %s", u.ID, u.State, state)
+		if state, cause := p.upstreamState(u); state != u.State {
+			p.addChange(cause, u.ID, "upstream %s was %s, is %s", u.ID, u.State, state)
 			u.State = state
 		}
 	}
 	var added []Upstream
 	for _, id := range sortedKeys(p.listed) {
-		if _, ok := p.next.upstream(id); ok {
+		if _, ok := p.next.upstreamIndex(id); ok {
 			continue
 		}
 		l := p.listed[id]
@@ -29,23 +30,25 @@
 			u.State = Leaving
 		}
 		added = append(added, u)
-		p.note(CauseUpstreamJoined, id, "upstream %s is %s", id, u.State)
+		p.addChange(CauseUpstreamJoined, id, "upstream %s is %s", id, u.State)
 	}
 	p.next.Upstreams = append(p.next.Upstreams, added...)
 	slices.SortFunc(p.next.Upstreams, func(a, b Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) })
 }
 
-// state returns the state that the list and the dispatcher's report give. The
-// list lags: absence from it does not end an upstream that its dispatcher still
-// reaches. An upstream listed under another address or service is another
-// process; the old one is emptied and dropped before the new one is used.
-func (p *plan) state(u *Upstream) (State, Cause) {
+// upstreamState returns the state that follows from the platform's list and the
+// dispatcher's report, and the cause of a change. The list may be out of date, so
+// an upstream that is missing from it stays as long as its dispatcher can reach it.
+// An upstream listed with another address, service or zone is a new process under
+// the same id: the old process hands over its units and is removed from the table
+// before the new one is added.
+func (p *planner) upstreamState(u *Upstream) (State, Cause) {
 	l, listed := p.listed[u.ID]
-	r, reported := p.in.Reports[u.ID]
+	r, reported := p.input.Reports[u.ID]
 	switch {
 	case reported && r.Lost, u.State == Lost && !reported:
 		return Lost, CauseUpstreamLost
-	case listed && (l.State == platform.StateLeaving || replaced(u, l)):
+	case listed && (l.State == platform.StateLeaving || isReplaced(u, l)):
 		return Leaving, CauseUpstreamLeaving
 	case !listed && u.State != Lost:
 		return u.State, ""
@@ -54,59 +57,59 @@
 	}
 }
 
-func replaced(u *Upstream, l platform.Listed) bool {
+func isReplaced(u *Upstream, l platform.Listed) bool {
 	return u.Address != l.Address || u.Service != l.Service || u.Zone != l.Zone
 }
 
-// dropUpstreams removes the upstreams that no unit names and that are gone: lost
-// and not listed, or listed as another process.
-func (p *plan) dropUpstreams() {
-	gone := map[fleet.UpstreamID]bool{}
+// removeUpstreams removes upstreams that no unit refers to and that either are
+// listed as another process, or are not listed and are lost or have no dispatcher.
+func (p *planner) removeUpstreams() {
+	removable := map[fleet.UpstreamID]bool{}
 	for i := range p.next.Upstreams {
 		u := &p.next.Upstreams[i]
-		if l, listed := p.listed[u.ID]; listed && replaced(u, l) || !listed && (u.State == Lost || u.Dispatcher == "") {
-			gone[u.ID] = true
+		if l, listed := p.listed[u.ID]; listed && isReplaced(u, l) || !listed && (u.State == Lost || u.Dispatcher == "") {
+			removable[u.ID] = true
 		}
 	}
-	for i := 0; len(gone) > 0 && i < len(p.next.Units); i++ {
-		delete(gone, p.next.Units[i].Owner)
+	for i := 0; len(removable) > 0 && i < len(p.next.Units); i++ {
+		delete(removable, p.next.Units[i].Owner)
 		for _, id := range p.next.Units[i].Previous {
-			delete(gone, id)
+			delete(removable, id)
 		}
 	}
-	for _, id := range sortedKeys(gone) {
-		p.note(CauseUpstreamGone, id, "upstream %s", id)
+	for _, id := range sortedKeys(removable) {
+		p.addChange(CauseUpstreamGone, id, "upstream %s", id)
 	}
-	p.next.Upstreams = slices.DeleteFunc(p.next.Upstreams, func(u Upstream) bool { return gone[u.ID] })
+	p.next.Upstreams = slices.DeleteFunc(p.next.Upstreams, func(u Upstream) bool { return removable[u.ID] })
 }
 
-// fillRows builds the side table of the upstreams.
-func (p *plan) fillRows() {
-	p.rows = make([]row, len(p.next.Upstreams))
-	p.byID = make(map[fleet.UpstreamID]*row, len(p.rows))
-	p.services = map[fleet.ServiceID][]*row{}
-	for i := range p.rows {
-		r := &p.rows[i]
-		r.Upstream = &p.next.Upstreams[i]
-		report, ok := p.in.Reports[r.ID]
-		r.report, r.load = report, report.Load
-		r.warmth = p.warmth(r.Service, report, ok)
-		r.why = p.unusable(r.Upstream)
-		r.usable = r.why == ""
-		p.byID[r.ID] = r
-		p.services[r.Service] = append(p.services[r.Service], r)
+// buildUpstreamInfos builds the planner's data about the upstreams.
+func (p *planner) buildUpstreamInfos() {
+	p.infos = make([]upstreamInfo, len(p.next.Upstreams))
+	p.infoByID = make(map[fleet.UpstreamID]*upstreamInfo, len(p.infos))
+	p.infosByService = map[fleet.ServiceID][]*upstreamInfo{}
+	for i := range p.infos {
+		u := &p.infos[i]
+		u.Upstream = &p.next.Upstreams[i]
+		report, ok := p.input.Reports[u.ID]
+		u.report, u.expectedLoad = report, report.Load
+		u.warmShare = p.warmShare(u.Service, report, ok)
+		u.unusableCause = p.unusableCause(u.Upstream)
+		u.usable = u.unusableCause == ""
+		p.infoByID[u.ID] = u
+		p.infosByService[u.Service] = append(p.infosByService[u.Service], u)
 	}
 }
 
-func (p *plan) unusable(u *Upstream) Cause {
-	_, out := p.in.Catalogue.Out(catalogue.OutageUpstream, string(u.ID))
-	_, zone := p.in.Catalogue.Out(catalogue.OutageZone, string(u.Zone))
+func (p *planner) unusableCause(u *Upstream) Cause {
+	_, upstreamOut := p.input.Catalogue.Out(catalogue.OutageUpstream, string(u.ID))
+	_, zoneOut := p.input.Catalogue.Out(catalogue.OutageZone, string(u.Zone))
 	switch {
 	case u.State == Lost:
 		return CauseUpstreamLost
-	case out:
+	case upstreamOut:
 		return CauseUpstreamOut
-	case zone:
+	case zoneOut:
 		return CauseZoneOut
 	case u.State == Leaving:
 		return CauseUpstreamLeaving
@@ -116,12 +119,12 @@
 	return ""
 }
 
-// warmth returns the share of its slots that the upstream can use now. Without
-// a report an upstream counts as cold.
-func (p *plan) warmth(id fleet.ServiceID, r Report, reported bool) float64 {
+// warmShare returns the share of its slots that the upstream can use now, above 0
+// and at most 1 (warm). An upstream without a report counts as cold.
+func (p *planner) warmShare(id fleet.ServiceID, r Report, reported bool) float64 {
 	limit, slots := r.Limit, r.Slots
 	if !reported || slots <= 0 {
-		for _, s := range p.in.Catalogue.Services {
+		for _, s := range p.input.Catalogue.Services {
 			if s.ID == id {
 				limit, slots = s.ColdSlots, s.Slots
 			}
--- a/internal/assignment/world_test.go
+++ b/internal/assignment/world_test.go
@@ -10,80 +10,80 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// world is the input of the planner as tests change it.
-type world struct {
-	now     time.Time
-	current *Assignment
-	cat     catalogue.Catalogue
-	listed  map[string]platform.Listed
-	reports map[fleet.UpstreamID]Report
-	joining map[fleet.InstanceID]Member
-	lost    map[fleet.InstanceID]bool
-	leaving map[fleet.InstanceID]bool
-	learned bool
-	granted bool // dispatchers report everything as released and granted
-	pinned  map[fleet.ServiceID][]time.Time
-	swapped map[fleet.ServiceID]time.Time
+// fixture holds the input of the planner and the assignment that it last returned.
+type fixture struct {
+	now            time.Time
+	current        *Assignment
+	catalogue      catalogue.Catalogue
+	listed         map[string]platform.Listed
+	reports        map[fleet.UpstreamID]Report
+	joining        map[fleet.InstanceID]Member
+	lost           map[fleet.InstanceID]bool
+	leaving        map[fleet.InstanceID]bool
+	learned        bool
+	grantsReported bool // dispatchers report every unit as released and granted
+	lastPins       map[fleet.ServiceID][]time.Time
+	lastSwaps      map[fleet.ServiceID]time.Time
 }
 
-func newWorld() *world {
-	return &world{
-		now: time.Unix(1000, 0), current: &Assignment{}, learned: true, granted: true,
+func newFixture() *fixture {
+	return &fixture{
+		now: time.Unix(1000, 0), current: &Assignment{}, learned: true, grantsReported: true,
 		listed: map[string]platform.Listed{}, reports: map[fleet.UpstreamID]Report{},
 		joining: map[fleet.InstanceID]Member{}, lost: map[fleet.InstanceID]bool{},
-		leaving: map[fleet.InstanceID]bool{}, pinned: map[fleet.ServiceID][]time.Time{}, swapped: map[fleet.ServiceID]time.Time{},
+		leaving: map[fleet.InstanceID]bool{}, lastPins: map[fleet.ServiceID][]time.Time{}, lastSwaps: map[fleet.ServiceID]time.Time{},
 	}
 }
 
-func (w *world) service(id string, shards int, slots, cold fleet.Slots) {
-	w.cat.Services = append(w.cat.Services, catalogue.Service{ID: fleet.ServiceID(id), Shards: shards, Slots: slots, ColdSlots: cold})
+func (fx *fixture) addService(id string, shards int, slots, cold fleet.Slots) {
+	fx.catalogue.Services = append(fx.catalogue.Services, catalogue.Service{ID: fleet.ServiceID(id), Shards: shards, Slots: slots, ColdSlots: cold})
 }
 
-func (w *world) list(id, service, zone string, state platform.State) {
-	w.listed[id] = platform.Listed{
+func (fx *fixture) listUpstream(id, service, zone string, state platform.State) {
+	fx.listed[id] = platform.Listed{
 		Name: id, Kind: platform.KindUpstream, Service: fleet.ServiceID(service),
 		Address: id + ":80", Zone: fleet.ZoneID(zone), State: state,
 	}
 }
 
-func (w *world) join(id, zone, boot string) {
-	w.joining[fleet.InstanceID(id)] = Member{ID: fleet.InstanceID(id), Boot: fleet.BootID(boot), Address: id, HTTP: id, Zone: fleet.ZoneID(zone)}
+func (fx *fixture) joinInstance(id, zone, boot string) {
+	fx.joining[fleet.InstanceID(id)] = Member{ID: fleet.InstanceID(id), Boot: fleet.BootID(boot), Address: id, HTTP: id, Zone: fleet.ZoneID(zone)}
 }
 
-func (w *world) out(kind catalogue.OutageKind, name string, out bool) {
-	w.cat.OutOfService = slices.DeleteFunc(w.cat.OutOfService, func(o catalogue.Outage) bool { return o.Kind == kind && o.Name == name })
+func (fx *fixture) setOutOfService(kind catalogue.OutageKind, name string, out bool) {
+	fx.catalogue.OutOfService = slices.DeleteFunc(fx.catalogue.OutOfService, func(o catalogue.Outage) bool { return o.Kind == kind && o.Name == name })
 	if out {
-		w.cat.OutOfService = append(w.cat.OutOfService, catalogue.Outage{Kind: kind, Name: name})
+		fx.catalogue.OutOfService = append(fx.catalogue.OutOfService, catalogue.Outage{Kind: kind, Name: name})
 	}
 }
 
-func (w *world) warm(id fleet.UpstreamID, limit fleet.Slots) {
-	r := w.reports[id]
+func (fx *fixture) setSlotLimit(id fleet.UpstreamID, limit fleet.Slots) {
+	r := fx.reports[id]
 	r.Limit, r.Slots = limit, 6
-	w.reports[id] = r
+	fx.reports[id] = r
 }
 
-func (w *world) input() Input {
+func (fx *fixture) input() Input {
 	in := Input{
-		Current: w.current, Catalogue: &w.cat, Learned: w.learned, Reports: map[fleet.UpstreamID]Report{},
-		Lost: sortedKeys(w.lost), Leaving: sortedKeys(w.leaving), LastPin: w.pinned, LastSwap: w.swapped,
+		Current: fx.current, Catalogue: &fx.catalogue, Learned: fx.learned, Reports: map[fleet.UpstreamID]Report{},
+		Lost: sortedKeys(fx.lost), Leaving: sortedKeys(fx.leaving), LastPin: fx.lastPins, LastSwap: fx.lastSwaps,
 	}
-	for _, id := range sortedKeys(w.listed) {
-		in.Listed = append(in.Listed, w.listed[id])
+	for _, id := range sortedKeys(fx.listed) {
+		in.Listed = append(in.Listed, fx.listed[id])
 	}
-	for _, id := range sortedKeys(w.joining) {
-		in.Joining = append(in.Joining, w.joining[id])
+	for _, id := range sortedKeys(fx.joining) {
+		in.Joining = append(in.Joining, fx.joining[id])
 	}
-	for id, r := range w.reports {
+	for id, r := range fx.reports {
 		in.Reports[id] = r
 	}
-	for _, o := range w.current.Units {
+	for _, o := range fx.current.Units {
 		if len(o.Previous) == 0 {
 			continue
 		}
 		fence := o.Fence
-		if !w.granted {
-			fence-- // the report of an earlier grant
+		if !fx.grantsReported {
+			fence-- // report an earlier grant
 		}
 		holders := []fleet.UpstreamID{o.Owner}
 		if o.Owner == "" {
@@ -98,12 +98,13 @@
 	return in
 }
 
-// plan runs the planner, checks the step and takes its result.
-func (w *world) plan() (moves []Move, changed bool, err error) {
-	in := w.input()
-	before := w.current.Encode()
-	next, moves, changed := Plan(w.now, in)
-	if string(before) != string(w.current.Encode()) {
+// plan runs the planner, checks its result with checkStep and makes it the current
+// assignment.
+func (fx *fixture) plan() (moves []Move, changed bool, err error) {
+	in := fx.input()
+	before := fx.current.Encode()
+	next, moves, changed := Plan(fx.now, in)
+	if string(before) != string(fx.current.Encode()) {
 		return nil, false, fmt.Errorf("Plan changed its input")
 	}
 	if err := checkStep(in, next, changed); err != nil {
@@ -111,17 +112,17 @@
 	}
 	for _, m := range moves {
 		if m.Cause == CausePin {
-			w.pinned[m.Unit.Service] = append(w.pinned[m.Unit.Service], w.now)
+			fx.lastPins[m.Unit.Service] = append(fx.lastPins[m.Unit.Service], fx.now)
 		}
 		if m.Cause == CauseLoad {
-			w.swapped[m.Unit.Service] = w.now
+			fx.lastSwaps[m.Unit.Service] = fx.now
 		}
 	}
-	w.current = next
+	fx.current = next
 	return moves, changed, nil
 }
 
-// checkStep verifies what holds for every plan.
+// checkStep checks the invariants that hold between every assignment and the next.
 func checkStep(in Input, next *Assignment, changed bool) error {
 	cur := in.Current
 	if changed == cur.Equal(next) {
@@ -170,9 +171,9 @@
 			}
 		}
 		if _, known := old[o.Unit]; !known && o.Unit.Pin != "" {
-			s := next.spans[o.Unit.Service]
+			s := next.serviceRanges[o.Unit.Service]
 			if shard := next.Units[s.shardOf(o.Unit.Pin)]; shard.Fence < cur.NextFence || !slices.Contains(o.Previous, shard.Owner) {
-				return fmt.Errorf("pin %s: its shard keeps fence %s, previous %v", o.Unit, shard.Fence, o.Previous)
+				return fmt.Errorf("new pin %s: shard has fence %s, pin has previous owners %v", o.Unit, shard.Fence, o.Previous)
 			}
 		}
 		delete(old, o.Unit)
@@ -181,7 +182,7 @@
 		held := append([]fleet.UpstreamID{o.Owner}, o.Previous...)
 		for _, id := range held {
 			if id != "" && !granted[id][fleet.Grant{Unit: o.Unit, Fence: o.Fence}] {
-				return fmt.Errorf("unit %s dropped while %s holds it", o.Unit, id)
+				return fmt.Errorf("unit %s deleted although %s has not released it", o.Unit, id)
 			}
 		}
 	}
@@ -196,16 +197,16 @@
 		return fmt.Errorf("unit %s: owner changed under fence %s", o.Unit, o.Fence)
 	}
 	g := fleet.Grant{Unit: o.Unit, Fence: old.Fence}
-	must := slices.Clone(old.Previous)
+	required := slices.Clone(old.Previous)
 	if granted[old.Owner][g] {
-		must = nil
+		required = nil
 	}
 	if old.Owner != "" && old.Owner != o.Owner {
-		must = append(must, old.Owner)
+		required = append(required, old.Owner)
 	}
-	for _, id := range must {
+	for _, id := range required {
 		if !slices.Contains(o.Previous, id) && !(old.Owner == "" && granted[id][g]) {
-			return fmt.Errorf("unit %s forgot %s, which has not released it", o.Unit, id)
+			return fmt.Errorf("unit %s: previous owner %s removed although it has not released the unit", o.Unit, id)
 		}
 	}
 	return nil
@@ -227,12 +228,12 @@
 	return nil
 }
 
-// settle plans until nothing changes.
-func (w *world) settle() error {
+// settle runs the planner until the assignment no longer changes.
+func (fx *fixture) settle() error {
 	for range 1000 {
-		if _, changed, err := w.plan(); err != nil || !changed {
+		if _, changed, err := fx.plan(); err != nil || !changed {
 			return err
 		}
 	}
-	return fmt.Errorf("no settled assignment after 1000 plans")
+	return fmt.Errorf("assignment still changes after 1000 plans")
 }
