--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,19 +1,23 @@
-// Package authority decides whether this instance may act, until when, and which
-// changes are in force everywhere.
+// Package authority decides whether this instance may act on the records that it
+// knows, until when, and which changes are in force: no instance with authority can
+// still act on earlier revisions of the records.
 //
-// An instance knows a pair of revisions that only grows. It may act until T after
-// it sent a read that the store answered, or a poll that a majority answered,
-// provided that nobody who answered knows more. A change is in force T after
-// a majority learned it. Every later poll by a majority then meets a member that
-// knows the change, and every earlier poll is older than T.
+// An instance knows a pair of revisions, which never decrease. It has authority,
+// that is, it may act on them, for one TTL after it sent a read that the store
+// answered or polls that a majority of the members answered. An answer that names a
+// higher revision counts only once this instance has applied it. A change is in
+// force one TTL after a majority has learned it: by then, any majority that answers
+// polls includes a member that knows the change, and the authority from all earlier
+// polls has expired.
 //
-// While the member list changes, both rules need a majority of the old and of
-// the new list: two lists that differ by more than one member can have disjoint
-// majorities.
+// While the member list changes, both rules require a majority of the old list and
+// one of the new list, because lists that differ by more than one member can have
+// disjoint majorities.
 //
-// The ids of a Table name runs of instances, see assignment.Member.Run. A restarted
-// instance has forgotten what its earlier run learned. If its answers counted for
-// that run, a majority could act on what a change in force has replaced.
+// The ids in a Table identify runs of instances, see assignment.Member.Run. A
+// restarted instance has lost the revisions that its earlier run had learned. If its
+// answers counted for that run, a majority could act on revisions that a change in
+// force has replaced.
 //
 // A Table is not safe for concurrent use.
 package authority
@@ -25,32 +29,34 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Known is the pair of revisions that an instance knows.
+// Known is the pair of record revisions that an instance knows.
 type Known struct{ Catalogue, Assignment fleet.Revision }
 
-// Covers reports whether k is at least o in both revisions.
+// Covers reports whether both revisions of k are at least those of o.
 func (k Known) Covers(o Known) bool {
 	return k.Catalogue >= o.Catalogue && k.Assignment >= o.Assignment
 }
 
-// Max returns the higher revision of each record.
+// Max returns, for each record, the higher revision of k and o.
 func (k Known) Max(o Known) Known {
 	return Known{max(k.Catalogue, o.Catalogue), max(k.Assignment, o.Assignment)}
 }
 
-// answer is evidence that whoever answered knew no more than known after sent.
+// answer is an answer to a read or poll sent at the time sent. It shows that at some
+// time after sent the sender of the answer knew no higher revisions.
 type answer struct {
-	sent  time.Time
-	known Known
+	sent      time.Time
+	revisions Known
 }
 
-// source keeps the newest answer that this instance's knowledge covers, and the
-// newest one that counts only once the instance has applied what it names.
-type source struct{ valid, pending answer }
+// answers holds the latest answers of the store or of a peer. valid is the latest
+// one whose revisions this instance has applied; pending is the latest one with
+// higher revisions, which becomes valid once the instance has applied them.
+type answers struct{ valid, pending answer }
 
-func (s *source) add(a answer, known Known) {
+func (s *answers) add(a answer, known Known) {
 	switch {
-	case !known.Covers(a.known):
+	case !known.Covers(a.revisions):
 		if a.sent.After(s.pending.sent) {
 			s.pending = a
 		}
@@ -59,41 +65,41 @@
 	}
 }
 
-func (s *source) promote(known Known) {
-	if !s.pending.sent.IsZero() && known.Covers(s.pending.known) {
+func (s *answers) promotePending(known Known) {
+	if !s.pending.sent.IsZero() && known.Covers(s.pending.revisions) {
 		s.add(s.pending, known)
 		s.pending = answer{}
 	}
 }
 
-// maxSightings bounds the history of a peer. A shorter history only delays the
-// verdict that an old revision is in force.
-const maxSightings = 16
+// maxObservations limits the length of a history. Dropping old observations can
+// only delay the decision that an old revision is in force.
+const maxObservations = 16
 
-// sighting says that a peer was first seen to know a pair at a time.
-type sighting struct {
-	known Known
-	at    time.Time
+// observation records when an instance was first seen to know a pair of revisions.
+type observation struct {
+	revisions Known
+	at        time.Time
 }
 
-type sightings []sighting
+type history []observation
 
-func (s *sightings) add(k Known, at time.Time) {
+func (s *history) add(k Known, at time.Time) {
 	if n := len(*s); n > 0 {
-		k = k.Max((*s)[n-1].known)
-		if k == (*s)[n-1].known {
+		k = k.Max((*s)[n-1].revisions)
+		if k == (*s)[n-1].revisions {
 			return
 		}
 	}
-	if len(*s) == maxSightings {
+	if len(*s) == maxObservations {
 		*s = slices.Delete(*s, 0, 1)
 	}
-	*s = append(*s, sighting{k, at})
+	*s = append(*s, observation{k, at})
 }
 
-func (s sightings) since(k Known) (time.Time, bool) {
+func (s history) firstAtLeast(k Known) (time.Time, bool) {
 	for _, x := range s {
-		if x.known.Covers(k) {
+		if x.revisions.Covers(k) {
 			return x.at, true
 		}
 	}
@@ -101,39 +107,42 @@
 }
 
 type peer struct {
-	source
-	heard time.Time
-	seen  sightings
+	answers
+	lastHeard time.Time
+	history   history
 }
 
-// Table holds what this instance knows about the knowledge of others.
+// Table holds the evidence from which this instance decides about its authority and
+// about changes in force: the answers of the store and of its peers.
 type Table struct {
-	self              fleet.InstanceID
-	ttl               time.Duration
-	members, previous []fleet.InstanceID
-	listsAt           time.Time // zero: changed after the last call that told the time
-	known, newest     Known     // applied here; heard of anywhere
-	inForce           Known
-	now               time.Time // latest time told
-	store             source
-	own               sightings
-	peers             map[fleet.InstanceID]*peer
-	gone              map[fleet.InstanceID]time.Time // zero as in listsAt
+	self                 fleet.InstanceID
+	ttl                  time.Duration
+	members, previous    []fleet.InstanceID
+	listsChangedAt       time.Time // zero: changed since the last call of advance
+	applied, highestSeen Known     // applied by this instance; seen in any answer
+	inForce              Known
+	now                  time.Time // latest time passed to a method
+	store                answers
+	ownHistory           history
+	peers                map[fleet.InstanceID]*peer
+	departed             map[fleet.InstanceID]time.Time // time of confirmation; zero: since the last call of advance
 }
 
-// New returns a table without knowledge and without authority.
+// New returns a table without revisions and without authority. self is the id of this
+// run of the instance.
 func New(self fleet.InstanceID, ttl time.Duration) *Table {
-	return &Table{self: self, ttl: ttl, peers: map[fleet.InstanceID]*peer{}, gone: map[fleet.InstanceID]time.Time{}}
+	return &Table{self: self, ttl: ttl, peers: map[fleet.InstanceID]*peer{}, departed: map[fleet.InstanceID]time.Time{}}
 }
 
-// SetMembers sets the lists of the assignment that Learn reports. It is called
-// before the Learn of that assignment. A changed list restarts the wait of InForce.
+// SetMembers sets the present and previous member list of an assignment. The caller
+// must call it before it calls Learn for that assignment. A changed list restarts
+// the wait of one TTL in InForce.
 func (t *Table) SetMembers(members, previous []fleet.InstanceID) {
 	if slices.Equal(members, t.members) && slices.Equal(previous, t.previous) {
 		return
 	}
 	t.members, t.previous = slices.Clone(members), slices.Clone(previous)
-	t.listsAt = time.Time{}
+	t.listsChangedAt = time.Time{}
 	for id := range t.peers {
 		if !slices.Contains(members, id) && !slices.Contains(previous, id) {
 			delete(t.peers, id)
@@ -141,64 +150,66 @@
 	}
 }
 
-// Learn records that this instance has applied k.
+// Learn records that this instance has applied the revisions k.
 func (t *Table) Learn(now time.Time, k Known) {
-	t.tell(now)
-	t.known = t.known.Max(k)
-	t.newest = t.newest.Max(k)
-	t.own.add(t.known, now)
-	t.store.promote(t.known)
+	t.advance(now)
+	t.applied = t.applied.Max(k)
+	t.highestSeen = t.highestSeen.Max(k)
+	t.ownHistory.add(t.applied, now)
+	t.store.promotePending(t.applied)
 	for _, p := range t.peers {
-		p.promote(t.known)
+		p.promotePending(t.applied)
 	}
 }
 
-// Known returns the pair that this instance has applied.
-func (t *Table) Known() Known { return t.known }
+// Known returns the revisions that this instance has applied.
+func (t *Table) Known() Known { return t.applied }
 
-// StoreAnswered records that the store answered a read of both records, sent at
-// sent, with k.
+// StoreAnswered records that the store answered a read of both records, sent at the
+// time sent, with the revisions k.
 func (t *Table) StoreAnswered(sent time.Time, k Known) {
-	t.newest = t.newest.Max(k)
-	t.store.add(answer{sent, k}, t.known)
+	t.highestSeen = t.highestSeen.Max(k)
+	t.store.add(answer{sent, k}, t.applied)
 }
 
-// PeerAnswered records that the peer answered a poll, sent at sent, with k.
+// PeerAnswered records that the peer answered a poll, sent at the time sent, with
+// the revisions k.
 func (t *Table) PeerAnswered(sent, now time.Time, id fleet.InstanceID, k Known) {
-	t.tell(now)
-	t.newest = t.newest.Max(k)
+	t.advance(now)
+	t.highestSeen = t.highestSeen.Max(k)
 	if id == t.self {
 		return
 	}
-	if at, ok := t.gone[id]; ok && sent.After(at) {
-		delete(t.gone, id) // it lives: the list was wrong
+	if at, ok := t.departed[id]; ok && sent.After(at) {
+		delete(t.departed, id) // the peer is alive: the confirmation was wrong
 	}
 	p := t.peers[id]
 	if p == nil {
 		p = &peer{}
 		t.peers[id] = p
 	}
-	if now.After(p.heard) {
-		p.heard = now
+	if now.After(p.lastHeard) {
+		p.lastHeard = now
 	}
-	p.add(answer{sent, k}, t.known)
-	p.seen.add(k, now)
+	p.add(answer{sent, k}, t.applied)
+	p.history.add(k, now)
 }
 
-// ConfirmGone replaces the set of members whose departure the platform confirms.
-// They act no more, so they count as having learned everything.
+// ConfirmGone replaces the set of members that, according to the platform, have
+// ended. Ended members cannot act, so they count as having learned all changes.
 func (t *Table) ConfirmGone(ids []fleet.InstanceID) {
-	gone := make(map[fleet.InstanceID]time.Time, len(ids))
+	departed := make(map[fleet.InstanceID]time.Time, len(ids))
 	for _, id := range ids {
-		gone[id] = t.gone[id]
+		departed[id] = t.departed[id]
 	}
-	t.gone = gone
+	t.departed = departed
 }
 
-// Until returns the end of authority, which may have passed.
+// Until returns the time at which the authority ends or has ended, or the zero time
+// if there never was any.
 func (t *Table) Until() time.Time {
 	sent := t.store.valid.sent
-	if polled := t.polled(); polled.After(sent) {
+	if polled := t.lastMajorityPoll(); polled.After(sent) {
 		sent = polled
 	}
 	if sent.IsZero() {
@@ -207,23 +218,24 @@
 	return sent.Add(t.ttl)
 }
 
-// Holds reports whether this instance may act at now.
+// Holds reports whether this instance has authority at the time now.
 func (t *Table) Holds(now time.Time) bool {
-	t.tell(now)
+	t.advance(now)
 	return now.Before(t.Until())
 }
 
-// Learned reports whether majorities of both lists are known to have learned k.
+// Learned reports whether majorities of both member lists are known to have learned
+// k.
 func (t *Table) Learned(k Known) bool {
 	_, ok := t.learnedAt(k)
 	return ok
 }
 
-// InForce reports whether no instance with authority can act on less than k.
-// The wait applies even if every member has learned k: an instance that is not
-// a member may still act on what it was told within the last T.
+// InForce reports whether no instance with authority can act on revisions lower than
+// k. The wait of one TTL applies even if every member has learned k, because an
+// instance that is not a member may still act on answers from the last TTL.
 func (t *Table) InForce(now time.Time, k Known) bool {
-	t.tell(now)
+	t.advance(now)
 	if t.inForce.Covers(k) {
 		return true
 	}
@@ -235,41 +247,45 @@
 	return true
 }
 
-// LastHeard returns the time of the peer's latest answer.
+// LastHeard returns the time at which the peer's latest answer arrived.
 func (t *Table) LastHeard(id fleet.InstanceID) (time.Time, bool) {
 	if p, ok := t.peers[id]; ok {
-		return p.heard, true
+		return p.lastHeard, true
 	}
 	return time.Time{}, false
 }
 
-// tell moves the time forward and dates the changes that came without a time.
-func (t *Table) tell(now time.Time) {
+// advance moves the table's time forward to now and assigns it to changes that were
+// recorded without a time.
+func (t *Table) advance(now time.Time) {
 	if now.After(t.now) {
 		t.now = now
 	}
-	if t.listsAt.IsZero() {
-		t.listsAt = t.now
+	if t.listsChangedAt.IsZero() {
+		t.listsChangedAt = t.now
 	}
-	for id, at := range t.gone {
+	for id, at := range t.departed {
 		if at.IsZero() {
-			t.gone[id] = t.now
+			t.departed[id] = t.now
 		}
 	}
 }
 
-// polled returns the send time of the oldest poll in the newest majorities.
-func (t *Table) polled() time.Time {
-	sent := majority(t.members, t.sentTo, newestFirst)
+// lastMajorityPoll returns the send time of the oldest poll among the most recent
+// answered polls that make up majorities of both lists.
+func (t *Table) lastMajorityPoll() time.Time {
+	oldest := majorityTime(t.members, t.lastAnsweredPoll, newestFirst)
 	if len(t.previous) > 0 {
-		if s := majority(t.previous, t.sentTo, newestFirst); s.Before(sent) {
-			sent = s
+		if s := majorityTime(t.previous, t.lastAnsweredPoll, newestFirst); s.Before(oldest) {
+			oldest = s
 		}
 	}
-	return sent
+	return oldest
 }
 
-func (t *Table) sentTo(id fleet.InstanceID) (time.Time, bool) {
+// lastAnsweredPoll returns the send time of the latest valid poll of the member. This
+// instance counts as polled now.
+func (t *Table) lastAnsweredPoll(id fleet.InstanceID) (time.Time, bool) {
 	if id == t.self {
 		return t.now, true
 	}
@@ -279,43 +295,44 @@
 	return time.Time{}, false
 }
 
-// learnedAt returns when majorities of both lists were known to have learned k.
-// It denies that while a newer assignment, with other lists, may exist. The time
-// is not before this instance learned k: members that were gone when k was written
-// do not prove that nobody acts on a read of the store from before.
+// learnedAt returns the time since which majorities of both lists are known to have
+// learned k. It returns false while an answer has named a newer assignment, which
+// may have other member lists. The time is never before this instance learned k:
+// ended members count as having learned k even if they ended before k was written,
+// which does not rule out that an instance still acts on an earlier store read.
 func (t *Table) learnedAt(k Known) (time.Time, bool) {
-	if len(t.members) == 0 || !t.known.Covers(k) || t.newest.Assignment > t.known.Assignment {
+	if len(t.members) == 0 || !t.applied.Covers(k) || t.highestSeen.Assignment > t.applied.Assignment {
 		return time.Time{}, false
 	}
-	at := majority(t.members, t.sawLearn(k), oldestFirst)
+	at := majorityTime(t.members, t.learnTime(k), oldestFirst)
 	if at.IsZero() {
 		return at, false
 	}
 	if len(t.previous) > 0 {
-		before := majority(t.previous, t.sawLearn(k), oldestFirst)
-		if before.IsZero() {
-			return before, false
+		previousAt := majorityTime(t.previous, t.learnTime(k), oldestFirst)
+		if previousAt.IsZero() {
+			return previousAt, false
 		}
-		at = latest(at, before)
+		at = latest(at, previousAt)
 	}
-	if own, ok := t.own.since(k); ok {
-		return latest(latest(at, own), t.listsAt), true
+	if ownAt, ok := t.ownHistory.firstAtLeast(k); ok {
+		return latest(latest(at, ownAt), t.listsChangedAt), true
 	}
 	return time.Time{}, false
 }
 
-func (t *Table) sawLearn(k Known) func(fleet.InstanceID) (time.Time, bool) {
+func (t *Table) learnTime(k Known) func(fleet.InstanceID) (time.Time, bool) {
 	return func(id fleet.InstanceID) (time.Time, bool) {
 		if id == t.self {
-			return t.own.since(k)
+			return t.ownHistory.firstAtLeast(k)
 		}
 		if p, ok := t.peers[id]; ok {
-			if at, ok := p.seen.since(k); ok {
+			if at, ok := p.history.firstAtLeast(k); ok {
 				return at, true
 			}
 		}
-		at, ok := t.gone[id]
-		return latest(at, t.listsAt), ok
+		at, ok := t.departed[id]
+		return latest(at, t.listsChangedAt), ok
 	}
 }
 
@@ -329,12 +346,12 @@
 	return b
 }
 
-// majority returns the time of the last of a majority of ids in the given order,
-// or the zero time without a majority.
-func majority(ids []fleet.InstanceID, at func(fleet.InstanceID) (time.Time, bool), order func(a, b time.Time) int) time.Time {
+// majorityTime sorts the times of the ids by order and returns the one with which a
+// majority is reached, or the zero time if fewer ids have a time.
+func majorityTime(ids []fleet.InstanceID, timeOf func(fleet.InstanceID) (time.Time, bool), order func(a, b time.Time) int) time.Time {
 	times := make([]time.Time, 0, len(ids))
 	for _, id := range ids {
-		if x, ok := at(id); ok {
+		if x, ok := timeOf(id); ok {
 			times = append(times, x)
 		}
 	}
