--- a/internal/assignment/members.go
+++ b/internal/assignment/members.go
@@ -40,6 +40,9 @@
 	}
 }
 
+// memberLists returns the next member list and the list to keep as PreviousMembers. It
+// adds the members that are replaced by a new run to restarted, and keeps the present
+// list if the next one would be empty.
 func (p *planner) memberLists(restarted map[fleet.InstanceID]bool) (members, previous []Member) {
 	var changes []Move
 	addChange := func(cause Cause, id fleet.InstanceID, detail string) {
--- a/internal/assignment/pins.go
+++ b/internal/assignment/pins.go
@@ -76,6 +76,8 @@
 	}
 }
 
+// isCold reports whether the key's share of the upstream's load is low enough to end its
+// pin.
 func (u *upstreamInfo) isCold(key fleet.RoutingKey) bool {
 	for _, h := range u.report.Hot {
 		if h.Key == key {
@@ -85,6 +87,7 @@
 	return true
 }
 
+// pinCandidate is a hot key, the owner of its shard, and the index of the shard.
 type pinCandidate struct {
 	HotKey
 	owner *upstreamInfo
--- a/internal/assignment/plan.go
+++ b/internal/assignment/plan.go
@@ -152,6 +152,7 @@
 	p.changed = true
 }
 
+// addChange records a change that moves neither a unit nor a dispatcher role.
 func (p *planner) addChange(cause Cause, to fleet.UpstreamID, format string, args ...any) {
 	p.addMove(Move{To: to, Cause: cause, Detail: fmt.Sprintf(format, args...)})
 }
--- a/internal/assignment/relief.go
+++ b/internal/assignment/relief.go
@@ -40,6 +40,8 @@
 	return slices.ContainsFunc(p.next.Units[s.start:s.end], func(o Ownership) bool { return len(o.Previous) > 0 })
 }
 
+// swapShards swaps a busy for a quiet shard between the warm upstreams of the service
+// with the highest and the lowest average load, if their loads differ enough.
 func (p *planner) swapShards(s unitRange, id fleet.ServiceID) {
 	var busiest, quietest *upstreamInfo
 	sum, n := 0.0, 0
--- a/internal/assignment/upstreams.go
+++ b/internal/assignment/upstreams.go
@@ -57,6 +57,7 @@
 	}
 }
 
+// isReplaced reports whether the listed upstream is another process than u.
 func isReplaced(u *Upstream, l platform.Listed) bool {
 	return u.Address != l.Address || u.Service != l.Service || u.Zone != l.Zone
 }
--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -82,6 +82,7 @@
 	at        time.Time
 }
 
+// history is a list of observations in ascending order of revisions.
 type history []observation
 
 func (s *history) add(k Known, at time.Time) {
@@ -97,6 +98,7 @@
 	*s = append(*s, observation{k, at})
 }
 
+// firstAtLeast returns the time of the first observation that covers k.
 func (s history) firstAtLeast(k Known) (time.Time, bool) {
 	for _, x := range s {
 		if x.revisions.Covers(k) {
@@ -125,13 +127,13 @@
 	store                answers
 	ownHistory           history
 	peers                map[fleet.InstanceID]*peer
-	departed             map[fleet.InstanceID]time.Time // time of confirmation; zero: since the last call of advance
+	ended                map[fleet.InstanceID]time.Time // time of confirmation; zero: since the last call of advance
 }
 
 // New returns a table without revisions and without authority. self is the id of this
 // run of the instance.
 func New(self fleet.InstanceID, ttl time.Duration) *Table {
-	return &Table{self: self, ttl: ttl, peers: map[fleet.InstanceID]*peer{}, departed: map[fleet.InstanceID]time.Time{}}
+	return &Table{self: self, ttl: ttl, peers: map[fleet.InstanceID]*peer{}, ended: map[fleet.InstanceID]time.Time{}}
 }
 
 // SetMembers sets the present and previous member list of an assignment. The caller
@@ -180,8 +182,8 @@
 	if id == t.self {
 		return
 	}
-	if at, ok := t.departed[id]; ok && sent.After(at) {
-		delete(t.departed, id) // the peer is alive: the confirmation was wrong
+	if at, ok := t.ended[id]; ok && sent.After(at) {
+		delete(t.ended, id) // the peer is alive: the confirmation was wrong
 	}
 	p := t.peers[id]
 	if p == nil {
@@ -198,11 +200,11 @@
 // ConfirmGone replaces the set of members that, according to the platform, have
 // ended. Ended members cannot act, so they count as having learned all changes.
 func (t *Table) ConfirmGone(ids []fleet.InstanceID) {
-	departed := make(map[fleet.InstanceID]time.Time, len(ids))
+	ended := make(map[fleet.InstanceID]time.Time, len(ids))
 	for _, id := range ids {
-		departed[id] = t.departed[id]
+		ended[id] = t.ended[id]
 	}
-	t.departed = departed
+	t.ended = ended
 }
 
 // Until returns the time at which the authority ends or has ended, or the zero time
@@ -264,9 +266,9 @@
 	if t.listsChangedAt.IsZero() {
 		t.listsChangedAt = t.now
 	}
-	for id, at := range t.departed {
+	for id, at := range t.ended {
 		if at.IsZero() {
-			t.departed[id] = t.now
+			t.ended[id] = t.now
 		}
 	}
 }
@@ -321,6 +323,9 @@
 	return time.Time{}, false
 }
 
+// learnTime returns a function that returns the time since which a member is known to
+// have learned k. An ended member counts from the later of the confirmation of its
+// end and the last change of the member lists.
 func (t *Table) learnTime(k Known) func(fleet.InstanceID) (time.Time, bool) {
 	return func(id fleet.InstanceID) (time.Time, bool) {
 		if id == t.self {
@@ -331,7 +336,7 @@
 				return at, true
 			}
 		}
-		at, ok := t.departed[id]
+		at, ok := t.ended[id]
 		return latest(at, t.listsChangedAt), ok
 	}
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -36,15 +36,15 @@
 		{"no answers", func(*Table) {}, 1, false},
 		{"store", func(t *Table) { t.StoreAnswered(at(0), revs(1, 1)) }, 999, true},
 		{"store expired", func(t *Table) { t.StoreAnswered(at(0), revs(1, 1)) }, 1000, false},
-		{"store knows more", func(t *Table) { t.StoreAnswered(at(0), revs(2, 1)) }, 1, false},
-		{"store, applied later", func(t *Table) { t.StoreAnswered(at(0), revs(2, 1)); t.Learn(at(50), revs(2, 1)) }, 999, true},
-		{"older answer remains", func(t *Table) { t.StoreAnswered(at(0), revs(1, 1)); t.StoreAnswered(at(10), revs(2, 1)) }, 999, true},
-		{"late answer", func(t *Table) { t.StoreAnswered(at(500), revs(1, 1)); t.StoreAnswered(at(0), revs(1, 1)) }, 1400, true},
-		{"one of three", func(t *Table) { t.PeerAnswered(at(0), at(5), "x", revs(1, 1)) }, 10, false},
+		{"store has a higher revision", func(t *Table) { t.StoreAnswered(at(0), revs(2, 1)) }, 1, false},
+		{"higher revision of the store applied later", func(t *Table) { t.StoreAnswered(at(0), revs(2, 1)); t.Learn(at(50), revs(2, 1)) }, 999, true},
+		{"earlier answer remains valid", func(t *Table) { t.StoreAnswered(at(0), revs(1, 1)); t.StoreAnswered(at(10), revs(2, 1)) }, 999, true},
+		{"answers out of order", func(t *Table) { t.StoreAnswered(at(500), revs(1, 1)); t.StoreAnswered(at(0), revs(1, 1)) }, 1400, true},
+		{"answer of a non-member", func(t *Table) { t.PeerAnswered(at(0), at(5), "x", revs(1, 1)) }, 10, false},
 		{"majority", func(t *Table) { t.PeerAnswered(at(0), at(5), "b", revs(1, 1)) }, 999, true},
 		{"majority expired", func(t *Table) { t.PeerAnswered(at(0), at(500), "b", revs(1, 1)) }, 1000, false},
-		{"peer knows more", func(t *Table) { t.PeerAnswered(at(0), at(5), "b", revs(1, 2)) }, 10, false},
-		{"peer knows less", func(t *Table) { t.PeerAnswered(at(0), at(5), "b", revs(0, 1)) }, 10, true},
+		{"peer has a higher revision", func(t *Table) { t.PeerAnswered(at(0), at(5), "b", revs(1, 2)) }, 10, false},
+		{"peer has a lower revision", func(t *Table) { t.PeerAnswered(at(0), at(5), "b", revs(0, 1)) }, 10, true},
 	} {
 		table := newTestTable(ids{"a", "b", "c"}, nil)
 		c.do(table)
