--- a/internal/instance/dispatcher.go
+++ b/internal/instance/dispatcher.go
@@ -17,8 +17,8 @@
 
 const tickInterval = 10 * time.Millisecond
 
-// attemptID makes every submission of a request distinct, so that an answer to
-// an earlier one is never taken for this one's.
+// attemptID returns a distinct id for each submission of a request, so that an
+// answer to an earlier submission is never taken for the answer to a later one.
 func attemptID(id fleet.RequestID, attempt int) fleet.RequestID {
 	if attempt == 0 {
 		return id
@@ -26,32 +26,32 @@
 	return id + "." + fleet.RequestID(strconv.Itoa(attempt))
 }
 
-// pendingJob is a job that the dispatch table holds.
+// pendingJob is a job that was submitted to the dispatch table and has not ended.
 type pendingJob struct {
 	job     *job
-	done    chan outcome
-	answers map[int]*http1.Response // by attempt, until one is chosen
+	done    chan jobResult
+	answers map[int]*http1.Response // by attempt number, until the table chooses one
 }
 
-// attemptKey identifies an attempt that an upstream may be working on.
+// attemptKey identifies an attempt that an upstream may be processing.
 type attemptKey struct {
 	id      fleet.RequestID
 	attempt int
 }
 
-type outcome struct {
+type jobResult struct {
 	res     *http1.Response
 	refusal *fleet.Refusal
 }
 
-// dutyKey identifies a dispatcher's term at an upstream.
-type dutyKey struct {
+// termKey identifies the term of a dispatcher for an upstream.
+type termKey struct {
 	upstream fleet.UpstreamID
 	fence    fleet.Fence
 }
 
-// duties lists the upstreams that this instance dispatches for. The caller holds
-// mu.
+// duties returns the upstreams that this instance dispatches for. The caller
+// holds mu.
 func (n *Instance) duties(now time.Time, s *snapshot) []dispatch.Duty {
 	units := make(map[fleet.UpstreamID][]assignment.Ownership)
 	for _, o := range s.assignment.Units {
@@ -62,11 +62,12 @@
 			}
 		}
 	}
-	terms := make(map[dutyKey]term)
+	terms := make(map[termKey]term)
 	var out []dispatch.Duty
 	if m, ok := s.member(n.self.ID); !ok || m.Boot != n.self.Boot {
-		// The assignment names an earlier run of this instance, whose grants this one
-		// does not know. The planner gives a restarted dispatcher new fences.
+		// The assignment names an earlier process of this instance, whose grants this
+		// process does not know. The planner assigns new fences to a restarted
+		// dispatcher.
 		n.terms = terms
 		return nil
 	}
@@ -74,33 +75,34 @@
 		if u.Dispatcher != n.self.ID {
 			continue
 		}
-		key := dutyKey{u.ID, u.Fence}
+		key := termKey{u.ID, u.Fence}
 		t, ok := n.terms[key]
 		if !ok {
 			t = term{revision: s.known.Assignment}
 		}
-		if t.taken.IsZero() && n.auth.InForce(now, authority.Known{Assignment: t.revision}) {
-			t.taken = now
+		if t.inForceAt.IsZero() && n.authority.InForce(now, authority.Known{Assignment: t.revision}) {
+			t.inForceAt = now
 		}
 		terms[key] = t
 		service, _ := s.service(u.Service)
 		out = append(out, dispatch.Duty{
 			Upstream: u.ID, Service: u.Service, Address: u.Address, Fence: u.Fence,
 			Slots: service.Slots, ColdSlots: service.ColdSlots, Fenced: service.Fencing == catalogue.FencingChecked,
-			Leaving: u.State == assignment.Leaving || upstreamOut(s, u), Taken: t.taken, Shards: s.assignment.Shards(u.Service), WarmTime: service.WarmTime, Last: n.warmth[u.ID], Timeout: service.Timeout, Units: units[u.ID],
+			Leaving: u.State == assignment.Leaving || upstreamOutOfService(s, u), Taken: t.inForceAt, Shards: s.assignment.Shards(u.Service), WarmTime: service.WarmTime, Last: n.warmth[u.ID], Timeout: service.Timeout, Units: units[u.ID],
 		})
 	}
 	n.terms = terms
 	return out
 }
 
-// term remembers when this instance became the dispatcher of an upstream.
+// term is the period during which this instance is the dispatcher of an upstream
+// under one fence.
 type term struct {
-	revision fleet.Revision // of the assignment that named it
-	taken    time.Time      // when that assignment was in force; zero: not yet
+	revision  fleet.Revision // of the assignment that made this instance the dispatcher
+	inForceAt time.Time      // when that assignment was found to be in force; zero if not yet
 }
 
-func upstreamOut(s *snapshot, u assignment.Upstream) bool {
+func upstreamOutOfService(s *snapshot, u assignment.Upstream) bool {
 	if _, out := s.catalogue.Out(catalogue.OutageUpstream, string(u.ID)); out {
 		return true
 	}
@@ -108,7 +110,7 @@
 	return out
 }
 
-// service returns a service of the catalogue.
+// service looks up a service of the catalogue.
 func (s *snapshot) service(id fleet.ServiceID) (catalogue.Service, bool) {
 	for _, v := range s.catalogue.Services {
 		if v.ID == id {
@@ -118,22 +120,22 @@
 	return catalogue.Service{}, false
 }
 
-// dispatchJob hands the job to the dispatch table and waits for its end.
+// dispatchJob submits the job to the dispatch table and waits for its result.
 func (n *Instance) dispatchJob(ctx context.Context, j *job) (*http1.Response, *fleet.Refusal) {
 	s := n.snapshot()
 	own, ok := s.assignment.Owner(j.service.ID, j.key, j.service.Shards)
 	up, known := s.upstream(own.Owner)
 	if !ok || !known || up.Dispatcher != n.self.ID {
-		return nil, noOwner("this instance is not the dispatcher of the key's owner")
+		return nil, noOwnerRefusal("this instance is not the dispatcher of the key's owner")
 	}
 	p := &pendingJob{
-		job: j, done: make(chan outcome, 1),
+		job: j, done: make(chan jobResult, 1),
 		answers: make(map[int]*http1.Response),
 	}
 	now := time.Now()
 	n.mu.Lock()
-	n.pending[j.id] = p
-	n.do(n.dispatch.Submit(now, dispatch.Request{
+	n.pendingJobs[j.id] = p
+	n.execute(n.dispatch.Submit(now, dispatch.Request{
 		ID: j.id, Account: j.account, Unit: own.Unit, Key: j.key, Upstream: own.Owner,
 		Idempotent: j.class == catalogue.Idempotent, Deadline: j.deadline,
 	}))
@@ -143,16 +145,16 @@
 		return out.res, out.refusal
 	case <-ctx.Done():
 		n.mu.Lock()
-		n.do(n.dispatch.Cancel(time.Now(), j.id))
+		n.execute(n.dispatch.Cancel(time.Now(), j.id))
 		n.mu.Unlock()
-		out := <-p.done // Cancel ends the request, unless it had ended before
+		out := <-p.done // Cancel ends the request, unless it had already ended
 		return out.res, out.refusal
 	}
 }
 
-// do executes the actions of the dispatch table. The caller holds mu; whatever
-// may block runs in a goroutine of its own.
-func (n *Instance) do(actions []dispatch.Action) {
+// execute carries out the actions of the dispatch table. Actions that may block
+// run in their own goroutines. The caller holds mu.
+func (n *Instance) execute(actions []dispatch.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.SendRequest:
@@ -160,39 +162,39 @@
 		case dispatch.CancelRequest:
 			n.cancelRequest(a)
 		case dispatch.Answer:
-			n.finish(a.ID, func(p *pendingJob) outcome { return outcome{res: p.answers[a.Attempt]} })
+			n.finishJob(a.ID, func(p *pendingJob) jobResult { return jobResult{res: p.answers[a.Attempt]} })
 		case dispatch.Refuse:
-			n.finish(a.ID, func(*pendingJob) outcome { r := a.Refusal; return outcome{refusal: &r} })
+			n.finishJob(a.ID, func(*pendingJob) jobResult { r := a.Refusal; return jobResult{refusal: &r} })
 		case dispatch.SendControl:
-			go n.control(a)
+			go n.sendControl(a)
 		case dispatch.AskReleased:
 			go n.askReleased(a)
 		case dispatch.CloseConnections:
 			go n.upstreams.CloseIdle(a.Address)
 		case dispatch.Event:
-			n.dispatchEvent(a)
+			n.recordDispatchEvent(a)
 		}
 	}
 }
 
-func (n *Instance) finish(id fleet.RequestID, end func(*pendingJob) outcome) {
-	p, ok := n.pending[id]
+func (n *Instance) finishJob(id fleet.RequestID, end func(*pendingJob) jobResult) {
+	p, ok := n.pendingJobs[id]
 	if !ok {
 		return
 	}
-	delete(n.pending, id)
+	delete(n.pendingJobs, id)
 	p.done <- end(p)
 }
 
 func (n *Instance) startRequest(a dispatch.SendRequest) {
-	p, ok := n.pending[a.ID]
+	p, ok := n.pendingJobs[a.ID]
 	if !ok {
 		go n.attemptDone(a, nil, upstream.Result(nil, &upstream.Error{Kind: dispatch.Skipped}))
 		return
 	}
 	ctx, cancel := context.WithDeadline(n.ctx, a.Deadline)
 	key := attemptKey{a.ID, a.Attempt}
-	n.attempts[key] = cancel
+	n.attemptCancels[key] = cancel
 	go func() {
 		defer cancel()
 		j := p.job
@@ -206,21 +208,22 @@
 func (n *Instance) attemptDone(a dispatch.SendRequest, res *http1.Response, result dispatch.Result) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.attempts, attemptKey{a.ID, a.Attempt})
-	if p, ok := n.pending[a.ID]; ok && res != nil {
+	delete(n.attemptCancels, attemptKey{a.ID, a.Attempt})
+	if p, ok := n.pendingJobs[a.ID]; ok && res != nil {
 		p.answers[a.Attempt] = res
 	}
-	n.do(n.dispatch.Done(time.Now(), a.ID, a.Attempt, result))
+	n.execute(n.dispatch.Done(time.Now(), a.ID, a.Attempt, result))
 }
 
 func (n *Instance) cancelRequest(a dispatch.CancelRequest) {
-	if cancel, ok := n.attempts[attemptKey{a.ID, a.Attempt}]; ok {
+	if cancel, ok := n.attemptCancels[attemptKey{a.ID, a.Attempt}]; ok {
 		cancel()
 	}
 }
 
-// control makes a control call to an upstream.
-func (n *Instance) control(a dispatch.SendControl) {
+// sendControl sends a control call to an upstream and reports the result to the
+// dispatch table.
+func (n *Instance) sendControl(a dispatch.SendControl) {
 	ctx, cancel := context.WithTimeout(n.ctx, a.Timeout)
 	defer cancel()
 	n.metrics.ControlMessage(a.Call.Kind.String())
@@ -230,11 +233,11 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.do(n.dispatch.ControlDone(time.Now(), upstream.ControlResult(a, reply, err)))
+	n.execute(n.dispatch.ControlDone(time.Now(), upstream.ControlResult(a, reply, err)))
 }
 
-// askReleased asks the dispatcher of a previous owner whether it has released
-// the units.
+// askReleased asks the dispatcher of a previous owner whether that owner has
+// released the units.
 func (n *Instance) askReleased(a dispatch.AskReleased) {
 	s := n.snapshot()
 	prev, ok := s.upstream(a.Previous)
@@ -251,7 +254,7 @@
 			n.metrics.ControlMessage("released")
 			answer, err := n.peers.Released(ctx, m.Address, q)
 			if err != nil {
-				n.log.Debug("release not learned", "upstream", a.Previous, "error", err)
+				n.log.Debug("release query failed", "upstream", a.Previous, "error", err)
 			}
 			return answer
 		}
@@ -265,24 +268,25 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.do(n.dispatch.PreviousReleased(time.Now(), a.Upstream, done, a.Previous))
+	n.execute(n.dispatch.PreviousReleased(time.Now(), a.Upstream, done, a.Previous))
 }
 
-// Released answers the dispatcher of a new owner. Only the dispatcher that the
-// newest assignment names may answer.
+// Released tells the dispatcher of a new owner which grants of a previous owner
+// are released. Only the dispatcher named by the newest assignment may confirm a
+// release.
 func (n *Instance) Released(_ context.Context, q peer.ReleasedRequest) peer.ReleasedAnswer {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.snapshot()
 	up, ok := s.upstream(q.Upstream)
-	if !ok || up.Dispatcher != n.self.ID || s.known.Assignment < q.Assignment || !n.holds(now) {
+	if !ok || up.Dispatcher != n.self.ID || s.known.Assignment < q.Assignment || !n.hasAuthority(now) {
 		return peer.ReleasedAnswer{Released: make([]bool, len(q.Grants))}
 	}
 	return peer.ReleasedAnswer{Released: n.dispatch.Released(now, q.Upstream, q.Grants)}
 }
 
-// runTick drives the dispatch table and the homes.
+// runTick advances the dispatch table and the homes of limits periodically.
 func (n *Instance) runTick(ctx context.Context) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -294,22 +298,23 @@
 		}
 		now := time.Now()
 		n.mu.Lock()
-		n.settleHomes(now)
-		n.callHomes(now, n.holder.Tick(now))
-		if n.awaitsTerm() {
-			n.do(n.dispatch.Assign(now, n.duties(now, n.snapshot())))
+		n.checkHomes(now)
+		n.sendTokenCalls(now, n.holder.Tick(now))
+		if n.hasPendingTerm() {
+			n.execute(n.dispatch.Assign(now, n.duties(now, n.snapshot())))
 		}
-		n.do(n.dispatch.Tick(now, n.authorityEnd(now)))
-		n.tellPlanner(now)
-		n.observe(now)
+		n.execute(n.dispatch.Tick(now, n.authorityEnd(now)))
+		n.requestPlannerPoll(now)
+		n.updateGauges(now)
 		n.mu.Unlock()
 	}
 }
 
-// awaitsTerm reports whether a term of this dispatcher is not in force yet.
-func (n *Instance) awaitsTerm() bool {
+// hasPendingTerm reports whether a term of this dispatcher is not yet in force.
+// The caller holds mu.
+func (n *Instance) hasPendingTerm() bool {
 	for _, t := range n.terms {
-		if t.taken.IsZero() {
+		if t.inForceAt.IsZero() {
 			return true
 		}
 	}
--- a/internal/instance/forward.go
+++ b/internal/instance/forward.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// answerGrace is how much longer than the deadline an instance waits for a
-	// dispatcher, which knows better whether the request has run.
-	answerGrace = 200 * time.Millisecond
-	// forwardConns bounds the connections to one other instance.
-	forwardConns = 4096
-	headerPrefix = "Parsley-"
+	// outcomeGrace is how much longer than the deadline an instance waits for a
+	// dispatcher, which can tell more precisely whether the request has run.
+	outcomeGrace = 200 * time.Millisecond
+	// maxForwardConns is the maximum number of connections to one other instance.
+	maxForwardConns      = 4096
+	internalHeaderPrefix = "Parsley-"
 )
 
-// forward sends the job to its dispatcher on another instance.
+// forward sends the job to the instance that dispatches for the owner of its key.
 func (n *Instance) forward(ctx context.Context, m assignment.Member, j *job) (*http1.Response, *fleet.Refusal) {
 	left := time.Until(j.deadline)
 	if left <= 0 {
@@ -43,57 +43,57 @@
 		Method: j.method, Target: j.target, Host: j.host, Header: header, Body: j.body,
 	})
 	if err != nil {
-		// The other idle connections are likely to be as dead as this one.
+		// The other idle connections have probably failed as well.
 		n.forwardPool(m.HTTP).CloseIdle()
-		return nil, asRefusal(err, m.ID)
+		return nil, forwardRefusal(err, m.ID)
 	}
 	if got := res.Header.Get(fleet.HeaderRequestID); got != string(j.id) {
 		return nil, &fleet.Refusal{Reason: fleet.ReasonBadAnswer, Detail: "the dispatcher answered another request"}
 	}
 	if reason := res.Header.Get(fleet.HeaderReason); reason != "" {
-		return nil, refusalOf(res.Header)
+		return nil, refusalFromHeader(res.Header)
 	}
-	stripOwnHeaders(res.Header)
+	stripInternalHeaders(res.Header)
 	return res, nil
 }
 
 func (n *Instance) forwardPool(addr string) *http1.Pool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p, ok := n.pools[addr]
+	p, ok := n.forwardPools[addr]
 	if !ok {
-		p = n.http.NewPool(addr, http1.PoolConfig{MaxConns: forwardConns})
-		n.pools[addr] = p
+		p = n.http.NewPool(addr, http1.PoolConfig{MaxConns: maxForwardConns})
+		n.forwardPools[addr] = p
 	}
 	return p
 }
 
-// retirePools drops the connections to instances and upstreams that the
-// assignment no longer names. The caller holds mu.
-func (n *Instance) retirePools(s *snapshot) {
-	named := make(map[string]bool, len(s.assignment.Members))
+// closeUnusedConnections closes the connections to instances and upstreams that
+// the assignment no longer contains. The caller holds mu.
+func (n *Instance) closeUnusedConnections(s *snapshot) {
+	memberAddrs := make(map[string]bool, len(s.assignment.Members))
 	for _, m := range s.assignment.Members {
-		named[m.HTTP] = true
+		memberAddrs[m.HTTP] = true
 	}
-	for addr, p := range n.pools {
-		if !named[addr] {
+	for addr, p := range n.forwardPools {
+		if !memberAddrs[addr] {
 			p.Retire()
-			delete(n.pools, addr)
+			delete(n.forwardPools, addr)
 		}
 	}
-	kept := make(map[string]bool, len(s.assignment.Upstreams))
+	upstreamAddrs := make(map[string]bool, len(s.assignment.Upstreams))
 	for _, u := range s.assignment.Upstreams {
-		kept[u.Address] = true
+		upstreamAddrs[u.Address] = true
 	}
-	for _, u := range n.connected.Upstreams {
-		if !kept[u.Address] {
+	for _, u := range n.connectedAssignment.Upstreams {
+		if !upstreamAddrs[u.Address] {
 			go n.upstreams.Forget(u.Address)
 		}
 	}
-	n.connected = s.assignment
+	n.connectedAssignment = s.assignment
 }
 
-func refusalOf(h http.Header) *fleet.Refusal {
+func refusalFromHeader(h http.Header) *fleet.Refusal {
 	r := &fleet.Refusal{Reason: fleet.Reason(h.Get(fleet.HeaderReason)), Detail: h.Get(peer.HeaderDetail)}
 	if ms, err := strconv.ParseInt(h.Get(peer.HeaderRetryAfter), 10, 64); err == nil {
 		r.RetryAfter = time.Duration(ms) * time.Millisecond
@@ -101,15 +101,15 @@
 	return r
 }
 
-func stripOwnHeaders(h http.Header) {
+func stripInternalHeaders(h http.Header) {
 	for name := range h {
-		if strings.HasPrefix(name, headerPrefix) {
+		if strings.HasPrefix(name, internalHeaderPrefix) {
 			delete(h, name)
 		}
 	}
 }
 
-// ServeHTTP takes requests that other instances forward to this dispatcher.
+// ServeHTTP dispatches a request that another instance forwarded.
 func (n *Instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(peer.HeaderToken) != n.secret.ForwardToken() {
 		http.Error(w, "forwarding needs the fleet secret", http.StatusForbidden)
@@ -121,7 +121,7 @@
 		writeForwardedRefusal(w, refusal)
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), j.deadline.Add(answerGrace))
+	ctx, cancel := context.WithDeadline(r.Context(), j.deadline.Add(outcomeGrace))
 	defer cancel()
 	res, refusal := n.dispatchJob(ctx, j)
 	if refusal != nil {
@@ -137,7 +137,7 @@
 func (n *Instance) forwardedJob(r *http.Request) (*job, *fleet.Refusal) {
 	service, ok := n.snapshot().service(fleet.ServiceID(r.Header.Get(peer.HeaderService)))
 	if !ok {
-		return nil, noOwner("the dispatcher does not know the service")
+		return nil, noOwnerRefusal("the dispatcher does not know the service")
 	}
 	key, err := strconv.Unquote(r.Header.Get(peer.HeaderRoutingKey))
 	if err != nil {
@@ -153,7 +153,7 @@
 	}
 	header := r.Header.Clone()
 	id, account, class := header.Get(fleet.HeaderRequestID), header.Get(fleet.HeaderAccount), header.Get(peer.HeaderClass)
-	stripOwnHeaders(header)
+	stripInternalHeaders(header)
 	return &job{
 		id: fleet.RequestID(id), account: fleet.AccountID(account), service: service, key: fleet.RoutingKey(key),
 		class: catalogue.Class(class), deadline: time.Now().Add(time.Duration(ms) * time.Millisecond),
--- a/internal/instance/history.go
+++ b/internal/instance/history.go
@@ -9,19 +9,19 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// historySize bounds what an instance remembers for explanations; at 20
-// refusals a second it covers a few minutes.
-const historySize = 4096
+// ringSize is the number of elements that an instance keeps of each kind for
+// explanations. At 20 refusals/s they cover a few minutes.
+const ringSize = 4096
 
-// ring keeps the newest historySize elements with their times. It is safe for
+// ring keeps the newest ringSize elements with their times. It is safe for
 // concurrent use.
 type ring[T any] struct {
 	mu    sync.Mutex
-	items []timed[T]
+	items []timedItem[T]
 	next  int
 }
 
-type timed[T any] struct {
+type timedItem[T any] struct {
 	at   time.Time
 	item T
 }
@@ -29,19 +29,19 @@
 func (r *ring[T]) add(now time.Time, item T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.items) < historySize {
-		r.items = append(r.items, timed[T]{now, item})
+	if len(r.items) < ringSize {
+		r.items = append(r.items, timedItem[T]{now, item})
 		return
 	}
-	r.items[r.next] = timed[T]{now, item}
-	r.next = (r.next + 1) % historySize
+	r.items[r.next] = timedItem[T]{now, item}
+	r.next = (r.next + 1) % ringSize
 }
 
-// newest returns up to n elements that match, newest first.
-func (r *ring[T]) newest(n int, match func(T) bool) []timed[T] {
+// newest returns up to n matching elements, newest first.
+func (r *ring[T]) newest(n int, match func(T) bool) []timedItem[T] {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []timed[T]
+	var out []timedItem[T]
 	for i := len(r.items) - 1; i >= 0 && len(out) < n; i-- {
 		if item := r.items[(r.next+i)%len(r.items)]; match(item.item) {
 			out = append(out, item)
@@ -50,7 +50,7 @@
 	return out
 }
 
-// refusedRequest is a refusal as it is remembered for explanations.
+// refusedRequest is a refused request with its refusal.
 type refusedRequest struct {
 	id      fleet.RequestID
 	account fleet.AccountID
@@ -61,46 +61,47 @@
 	took    time.Duration
 }
 
-// occurrence is something that the fleet did or suffered.
-type occurrence struct {
+// fleetEvent is an event of the store, the catalogue or an upstream.
+type fleetEvent struct {
 	kind   string
 	detail string
 }
 
-// history is what an instance remembers for explanations.
+// history holds what an instance records for explanations.
 type history struct {
 	moves    ring[assignment.Move]
 	refusals ring[refusedRequest]
-	events   ring[occurrence]
+	events   ring[fleetEvent]
 }
 
-// revisionClock remembers when revisions were learned and came into force here.
-type revisionClock struct {
-	waiting []learnedRevision
-	inForce []learnedRevision // newest last, at most revisionMemory
+// revisionHistory records when revisions were learned and when they were found to
+// be in force.
+type revisionHistory struct {
+	pending []timedRevision
+	inForce []timedRevision // newest last, at most maxInForceRevisions
 }
 
-type learnedRevision struct {
+type timedRevision struct {
 	known authority.Known
 	at    time.Time
 }
 
-const revisionMemory = 64
+const maxInForceRevisions = 64
 
-func (c *revisionClock) learn(now time.Time, k authority.Known) {
-	c.waiting = append(c.waiting, learnedRevision{k, now})
+func (c *revisionHistory) add(now time.Time, k authority.Known) {
+	c.pending = append(c.pending, timedRevision{k, now})
 }
 
-// settle returns how long each revision that is now in force took since it was
-// learned.
-func (c *revisionClock) settle(now time.Time, inForce func(authority.Known) bool) []time.Duration {
+// takeInForce moves the revisions that are now in force from pending to inForce.
+// It returns the time that each took from being learned.
+func (c *revisionHistory) takeInForce(now time.Time, inForce func(authority.Known) bool) []time.Duration {
 	var out []time.Duration
-	for len(c.waiting) > 0 && inForce(c.waiting[0].known) {
-		out = append(out, now.Sub(c.waiting[0].at))
-		c.inForce = append(c.inForce, learnedRevision{c.waiting[0].known, now})
-		c.waiting = c.waiting[1:]
+	for len(c.pending) > 0 && inForce(c.pending[0].known) {
+		out = append(out, now.Sub(c.pending[0].at))
+		c.inForce = append(c.inForce, timedRevision{c.pending[0].known, now})
+		c.pending = c.pending[1:]
 	}
-	if extra := len(c.inForce) - revisionMemory; extra > 0 {
+	if extra := len(c.inForce) - maxInForceRevisions; extra > 0 {
 		c.inForce = c.inForce[extra:]
 	}
 	return out
@@ -108,7 +109,7 @@
 
 // inForceSince returns when the catalogue revision, or a later one, was found to
 // be in force.
-func (c *revisionClock) inForceSince(rev fleet.Revision) (time.Time, bool) {
+func (c *revisionHistory) inForceSince(rev fleet.Revision) (time.Time, bool) {
 	for _, r := range c.inForce {
 		if r.known.Catalogue >= rev {
 			return r.at, true
--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -9,90 +9,94 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// homeTable decides when this instance may grant tokens of a limit. A new home
-// must not grant before the former one has stopped. It keeps the assignments
-// under which somebody may still act as home, oldest first; the last one is the
-// newest known. It does no I/O.
+// homeTable decides when this instance may grant tokens of a limit as its home, the
+// instance that keeps the token bucket. A new home must not grant tokens before
+// the former one has stopped. The table keeps the assignments under which some
+// instance may still act as a home, oldest first; the last one is the newest
+// known. It does no I/O.
 type homeTable struct {
 	self   fleet.InstanceID
 	home   *limit.Home
 	epochs []homeEpoch
-	// complete is true if every assignment that may still be acted on is among
-	// epochs. It is false after a start, until the newest one is in force.
-	complete bool
-	active   map[fleet.LimitID]bool
-	// unsettled is true while a limit may wait to become active here.
-	unsettled bool
-	// left holds the level of limits that moved away, for their new home.
-	left map[fleet.LimitID]fleet.Tokens
+	// epochsComplete is true if epochs contains every assignment that an instance may
+	// still act on. It is false after a start until the newest one is in force.
+	epochsComplete bool
+	active         map[fleet.LimitID]bool
+	// needsCheck is true while a limit may have to become active on this instance.
+	needsCheck bool
+	// releasedLevels holds the bucket levels of limits that moved to another home,
+	// until that home asks for them.
+	releasedLevels map[fleet.LimitID]fleet.Tokens
 }
 
-// homeEpoch is a period in which every limit has the same home.
+// homeEpoch is a period during which no limit changes its home.
 type homeEpoch struct {
-	revision   fleet.Revision // of the first assignment of the period
+	revision   fleet.Revision // of the first assignment of the epoch
 	assignment *assignment.Assignment
 }
 
 func newHomeTable(self fleet.InstanceID, home *limit.Home) *homeTable {
-	return &homeTable{self: self, home: home, active: map[fleet.LimitID]bool{}, left: map[fleet.LimitID]fleet.Tokens{}}
+	return &homeTable{self: self, home: home, active: map[fleet.LimitID]bool{}, releasedLevels: map[fleet.LimitID]fleet.Tokens{}}
 }
 
-// learn takes over a newer assignment and releases the limits that moved away.
-func (t *homeTable) learn(now time.Time, s *snapshot) {
+// addAssignment adds a newer assignment and releases the limits that have moved to
+// another home.
+func (t *homeTable) addAssignment(now time.Time, s *snapshot) {
 	a := s.assignment
 	if n := len(t.epochs); n > 0 && sameHomes(t.epochs[n-1].assignment, a) {
 		return
 	}
-	t.unsettled = true
+	t.needsCheck = true
 	t.epochs = append(t.epochs, homeEpoch{revision: s.known.Assignment, assignment: a})
 	for id := range t.active {
 		if a.Home(id) != t.self {
-			t.left[id] = t.home.Release(now, id)
+			t.releasedLevels[id] = t.home.Release(now, id)
 			delete(t.active, id)
 		}
 	}
 }
 
 func sameHomes(a, b *assignment.Assignment) bool {
-	return slices.Equal(ids(a.Members), ids(b.Members)) && slices.Equal(a.Draining, b.Draining)
+	return slices.Equal(memberIDs(a.Members), memberIDs(b.Members)) && slices.Equal(a.Draining, b.Draining)
 }
 
-// settle drops the epochs that ended, given which revisions are in force.
-func (t *homeTable) settle(inForce func(fleet.Revision) bool) {
+// dropEndedEpochs drops the epochs before the newest one that is in force.
+func (t *homeTable) dropEndedEpochs(inForce func(fleet.Revision) bool) {
 	for i := len(t.epochs) - 1; i >= 0; i-- {
 		if inForce(t.epochs[i].revision) {
 			t.epochs = slices.Delete(t.epochs, 0, i)
-			t.complete = true
+			t.epochsComplete = true
 			break
 		}
 	}
-	if len(t.epochs) == 1 && t.complete {
-		clear(t.left)
+	if len(t.epochs) == 1 && t.epochsComplete {
+		clear(t.releasedLevels)
 	}
 }
 
-// lapse forgets everything that rests on having known every assignment: while
-// this instance had no authority another one may have been home in between.
-func (t *homeTable) lapse() {
+// loseAuthority resets all state that depends on knowing every assignment. While
+// this instance had no authority, another instance may have been home in between.
+func (t *homeTable) loseAuthority() {
 	if len(t.epochs) > 0 {
 		t.epochs = slices.Delete(t.epochs, 0, len(t.epochs)-1)
 	}
-	t.complete, t.unsettled = false, true
+	t.epochsComplete, t.needsCheck = false, true
 	clear(t.active)
-	clear(t.left)
+	clear(t.releasedLevels)
 }
 
-// homeState says what this instance may do for a limit.
+// homeState is the role of this instance for a limit.
 type homeState int
 
 const (
 	notHome homeState = iota
 	homeActive
-	homeWaiting // until former homes released it or the assignment is in force
+	homeWaiting // until the former homes released the limit or the assignment is in force
 )
 
-// state returns the state of a limit, and the former homes to ask if it waits. A
-// limit that no former home can hold is activated with an empty bucket.
+// state returns the role of this instance for a limit and, if it has to wait, the
+// former homes to ask. A limit that no former home can hold is activated with the
+// level that this instance kept, or with an empty bucket.
 func (t *homeTable) state(now time.Time, id fleet.LimitID) (homeState, []fleet.InstanceID) {
 	if len(t.epochs) == 0 || t.newest().assignment.Home(id) != t.self {
 		return notHome, nil
@@ -100,12 +104,12 @@
 	if t.active[id] {
 		return homeActive, nil
 	}
-	if !t.complete {
+	if !t.epochsComplete {
 		return homeWaiting, nil
 	}
-	former := t.former(id)
+	former := t.formerHomes(id)
 	if len(former) == 0 {
-		t.activate(now, id, t.left[id])
+		t.activate(now, id, t.releasedLevels[id])
 		return homeActive, nil
 	}
 	return homeWaiting, former
@@ -113,8 +117,8 @@
 
 func (t *homeTable) newest() homeEpoch { return t.epochs[len(t.epochs)-1] }
 
-// former returns the other instances that may still hold the limit.
-func (t *homeTable) former(id fleet.LimitID) []fleet.InstanceID {
+// formerHomes returns the other instances that may still act as home of the limit.
+func (t *homeTable) formerHomes(id fleet.LimitID) []fleet.InstanceID {
 	var out []fleet.InstanceID
 	for _, e := range t.epochs[:len(t.epochs)-1] {
 		if h := e.assignment.Home(id); h != t.self && !slices.Contains(out, h) {
@@ -124,26 +128,28 @@
 	return out
 }
 
-// released activates a limit after every former home released it. It does
-// nothing if the assignment has changed since they were asked.
-func (t *homeTable) released(now time.Time, id fleet.LimitID, asked fleet.Revision, level fleet.Tokens) {
+// activateReleased activates a limit after all former homes have released it. It
+// does nothing if a newer epoch has begun since the former homes were asked under
+// revision asked.
+func (t *homeTable) activateReleased(now time.Time, id fleet.LimitID, asked fleet.Revision, level fleet.Tokens) {
 	if len(t.epochs) == 0 || t.newest().revision != asked || t.newest().assignment.Home(id) != t.self || t.active[id] {
 		return
 	}
-	// The level kept here still counts if the limit came back before the other
-	// home asked for it. The larger of the two, not the sum, keeps every window
-	// within burst + rate × window.
-	t.activate(now, id, max(level, t.left[id]))
+	// If the limit moved back before the other home asked for the level, the level
+	// kept here still counts. The maximum of the two, not the sum, keeps the tokens
+	// granted in any window within burst + rate × window.
+	t.activate(now, id, max(level, t.releasedLevels[id]))
 }
 
 func (t *homeTable) activate(now time.Time, id fleet.LimitID, level fleet.Tokens) {
-	delete(t.left, id)
+	delete(t.releasedLevels, id)
 	t.active[id] = true
 	t.home.Activate(now, id, level)
 }
 
-// release answers the new home of limits. It returns false if this instance is
-// still their home under what it knows, or does not know the asker's assignment.
+// release returns the levels of limits for their new home. It returns false if
+// this instance is still the home of one of them or does not know the assignment
+// under which the new home asks.
 func (t *homeTable) release(known, asked fleet.Revision, limits []fleet.LimitID) ([]fleet.Tokens, bool) {
 	if known < asked || len(t.epochs) == 0 {
 		return nil, false
@@ -153,8 +159,8 @@
 		if t.active[id] || t.newest().assignment.Home(id) == t.self {
 			return nil, false
 		}
-		levels[i] = t.left[id]
-		delete(t.left, id)
+		levels[i] = t.releasedLevels[id]
+		delete(t.releasedLevels, id)
 	}
 	return levels, true
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,12 +1,13 @@
-// Package instance joins the decision tables and the I/O packages into one
+// Package instance assembles the decision tables and the I/O packages into a
 // running instance of the router.
 //
 // A request enters at Serve (serve.go), or at ServeHTTP (forward.go) if another
-// instance received it, is decided by the tables of packages route, limit and
-// dispatch, and leaves through package upstream (dispatcher.go). The tables are
-// guarded by one mutex and never block; every call to the store, to another
-// instance or to an upstream runs outside of it. What an instance knows of the
-// durable state is a snapshot that is replaced as a whole (records.go).
+// instance forwarded it. The tables of packages route, limit and dispatch decide
+// what happens to it, and package upstream sends it (dispatcher.go). One mutex
+// guards the tables, whose methods never block; calls to the store, to other
+// instances and to upstreams are made without holding it. The durable state that
+// an instance knows is an immutable snapshot, which is replaced as a whole
+// (records.go).
 package instance
 
 import (
@@ -37,7 +38,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Instance is one running instance.
+// Instance is one running instance of the router. It serves callers, operators
+// and other instances.
 type Instance struct {
 	cfg     settings.Serve
 	self    assignment.Member
@@ -52,58 +54,59 @@
 	peers     *peer.Client
 	upstreams *upstream.Client
 
-	// ctx ends when every request has ended and the instance stops.
+	// ctx is cancelled when all requests have ended and the instance stops.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	current   atomic.Pointer[snapshot]
-	learning  sync.Mutex // orders changes of current
-	fetching  sync.Mutex
-	polling   sync.Map       // peer address -> true while a poll runs
-	takeovers sync.Map       // limit id -> true while former homes are asked
-	storeRead fleet.Revision // used by runStore only
-	pokeStore chan struct{}
-	pokePolls chan struct{}
+	current          atomic.Pointer[snapshot]
+	snapshotUpdate   sync.Mutex // serializes replacements of current
+	fetchLock        sync.Mutex
+	activePolls      sync.Map       // peer address -> true while a poll is in progress
+	activeTakeovers  sync.Map       // limit id -> true while its former homes are being asked
+	storeRevision    fleet.Revision // store revision of the last read; used by runStore only
+	triggerStoreRead chan struct{}
+	triggerPolls     chan struct{}
 
 	history
 
-	// mu guards everything below.
-	mu            sync.Mutex
-	auth          *authority.Table
-	until         time.Time // see authorityEnd
-	members       *memberTable
-	listed        []platform.Listed
-	storeAnswered time.Time
-	phase         peer.Phase
-	home          *limit.Home
-	homes         *homeTable
-	homesChecked  time.Time
-	holder        *limit.Holder
-	waits         map[fleet.LimitID]chan struct{} // closed when a call for tokens ends
-	dispatch      *dispatch.Table
-	news          bool                 // the planner should poll this instance
-	detailed      map[string]time.Time // peer address -> last poll for details
-	terms         map[dutyKey]term
-	warmth        map[fleet.UpstreamID]dispatch.Warmth // last reported by any dispatcher
-	pending       map[fleet.RequestID]*pendingJob
-	attempts      map[attemptKey]context.CancelFunc
-	pools         map[string]*http1.Pool
-	// connected is the assignment whose instances and upstreams may have connections.
-	connected *assignment.Assignment
-	outSince  time.Time // when this instance learned that it is out of service
-	pins      map[fleet.ServiceID][]time.Time
-	swaps     map[fleet.ServiceID]time.Time
-	revisions revisionClock
-	changed   chan struct{} // closed when current changes
-	observed  time.Time
+	// mu guards all fields below.
+	mu                 sync.Mutex
+	authority          *authority.Table
+	cachedAuthorityEnd time.Time // see authorityEnd
+	members            *memberTable
+	platformList       []platform.Listed
+	storeAnswered      time.Time
+	phase              peer.Phase
+	home               *limit.Home
+	homes              *homeTable
+	homesCheckedAt     time.Time
+	holder             *limit.Holder
+	tokenCalls         map[fleet.LimitID]chan struct{} // closed when the call for tokens of the limit returns
+	dispatch           *dispatch.Table
+	plannerPollDue     bool                 // a dispatch event requires the planner to poll this instance
+	detailsPolledAt    map[string]time.Time // peer address -> time of the last poll that asked for details
+	terms              map[termKey]term
+	warmth             map[fleet.UpstreamID]dispatch.Warmth // last value reported by any dispatcher
+	pendingJobs        map[fleet.RequestID]*pendingJob
+	attemptCancels     map[attemptKey]context.CancelFunc
+	forwardPools       map[string]*http1.Pool
+	// connectedAssignment is the assignment to whose instances and upstreams
+	// connections may be open.
+	connectedAssignment *assignment.Assignment
+	outOfServiceSince   time.Time // when this instance learned of its outage; zero if in service
+	pinTimes            map[fleet.ServiceID][]time.Time
+	lastSwaps           map[fleet.ServiceID]time.Time
+	revisions           revisionHistory
+	snapshotChanged     chan struct{} // closed and replaced when current changes
+	gaugesUpdatedAt     time.Time
 }
 
-// tokenTTL is how long an instance may use tokens that it drew from a home. Holders
-// return unused tokens after 150 ms. After the loss of a home the next one grants
-// nothing of a small burst for this long.
+// tokenTTL is how long tokens that an instance took from the home of a limit are
+// valid. Holders return unused tokens after 150 ms. After a home is lost, its
+// successor grants no tokens of a limit with a small burst for this long.
 const tokenTTL = 300 * time.Millisecond
 
-// New returns an instance that is not running yet.
+// New returns an instance that is not yet listening.
 func New(cfg settings.Serve, log hclog.Logger) (*Instance, error) {
 	client, err := http1.NewClient()
 	if err != nil {
@@ -121,12 +124,12 @@
 		http: client, store: platform.NewStore(client, cfg.Store), list: platform.NewList(client, cfg.List),
 		peers: peer.NewClient(peer.Secret(cfg.FleetSecret)), upstreams: upstream.New(client),
 		ctx: ctx, cancel: cancel,
-		pokeStore: make(chan struct{}, 1), pokePolls: make(chan struct{}, 1),
-		auth: authority.New(self.Run(), cfg.AuthorityTTL), members: newMemberTable(self.ID, self.Boot), phase: peer.Serving,
+		triggerStoreRead: make(chan struct{}, 1), triggerPolls: make(chan struct{}, 1),
+		authority: authority.New(self.Run(), cfg.AuthorityTTL), members: newMemberTable(self.ID, self.Boot), phase: peer.Serving,
 		home: home, homes: newHomeTable(cfg.Instance, home), holder: limit.NewHolder(),
-		waits: map[fleet.LimitID]chan struct{}{}, dispatch: dispatch.New(dispatch.Config{Instance: cfg.Instance}),
-		detailed: map[string]time.Time{}, terms: map[dutyKey]term{}, warmth: map[fleet.UpstreamID]dispatch.Warmth{}, pending: map[fleet.RequestID]*pendingJob{}, attempts: map[attemptKey]context.CancelFunc{}, pools: map[string]*http1.Pool{}, connected: &assignment.Assignment{},
-		pins: map[fleet.ServiceID][]time.Time{}, swaps: map[fleet.ServiceID]time.Time{}, changed: make(chan struct{}),
+		tokenCalls: map[fleet.LimitID]chan struct{}{}, dispatch: dispatch.New(dispatch.Config{Instance: cfg.Instance}),
+		detailsPolledAt: map[string]time.Time{}, terms: map[termKey]term{}, warmth: map[fleet.UpstreamID]dispatch.Warmth{}, pendingJobs: map[fleet.RequestID]*pendingJob{}, attemptCancels: map[attemptKey]context.CancelFunc{}, forwardPools: map[string]*http1.Pool{}, connectedAssignment: &assignment.Assignment{},
+		pinTimes: map[fleet.ServiceID][]time.Time{}, lastSwaps: map[fleet.ServiceID]time.Time{}, snapshotChanged: make(chan struct{}),
 	}
 	n.current.Store(emptySnapshot())
 	return n, nil
@@ -134,9 +137,9 @@
 
 func (n *Instance) snapshot() *snapshot { return n.current.Load() }
 
-// poke makes the store be read and the peers be polled at once.
-func (n *Instance) poke() {
-	for _, c := range []chan struct{}{n.pokeStore, n.pokePolls} {
+// refreshNow triggers an immediate read of the store and poll of the peers.
+func (n *Instance) refreshNow() {
+	for _, c := range []chan struct{}{n.triggerStoreRead, n.triggerPolls} {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -144,14 +147,15 @@
 	}
 }
 
-// servers are the listening ends of an instance.
+// servers holds the listening servers of an instance.
 type servers struct {
 	caller, forward, operator *http1.Server
 	peer                      *peer.Server
 }
 
-// Run serves until ctx ends, then leaves the fleet gracefully: it hands over its
-// duties, cuts no request, and returns within the shutdown timeout.
+// Run serves until ctx ends and then shuts down gracefully: other instances take
+// over its upstreams, no request is cut off, and Run returns within the shutdown
+// timeout.
 func (n *Instance) Run(ctx context.Context) error {
 	defer n.close()
 	srv, err := n.listen()
@@ -168,7 +172,7 @@
 	g.Add(func() error {
 		select {
 		case <-ctx.Done():
-			return n.leave(srv)
+			return n.shutdown(srv)
 		case <-stopped:
 			return nil
 		}
@@ -195,8 +199,8 @@
 	}
 	srv.caller, err = http1.Listen(http1.ServerConfig{
 		Addr: n.cfg.CallerListen, Handler: caller.Handler(n, n, caller.Limits{MaxHeader: limits.MaxHeader, MaxBody: limits.MaxBody}),
-		// The handler refuses a body above the limit with a reason; the server only
-		// bounds how much it reads.
+		// The handler refuses a body above limits.MaxBody with a reason. The server's
+		// own limit only bounds how much is read.
 		MaxBody: 2 * limits.MaxBody, MaxConns: limits.MaxConns, ReadTimeout: limits.ReadTimeout,
 	})
 	if err != nil {
@@ -208,7 +212,7 @@
 
 func (n *Instance) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/", operator.Handler(operators{n}, string(n.cfg.OperatorToken)))
+	mux.Handle("/", operator.Handler(operatorAPI{n}, string(n.cfg.OperatorToken)))
 	mux.Handle("/metrics", n.metrics.Handler())
 	mux.Handle("/-/", caller.HealthHandler(n))
 	return mux
@@ -232,41 +236,42 @@
 }
 
 const (
-	// balancerGrace is how long an instance goes on accepting callers after its
-	// readiness check has begun to fail.
-	balancerGrace = time.Second
-	leavePoll     = 20 * time.Millisecond
+	// loadBalancerGrace is how long an instance still accepts requests of callers
+	// after its readiness check has begun to fail, until load balancers notice.
+	loadBalancerGrace = time.Second
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// leave ends the instance gracefully.
-func (n *Instance) leave(srv *servers) error {
+// shutdown drains the instance: it waits until the requests have ended and other
+// instances have taken over the upstreams.
+func (n *Instance) shutdown(srv *servers) error {
 	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.ShutdownTimeout)
 	defer cancel()
-	n.log.Info("leaving: waiting for duties to move and requests to end")
+	n.log.Info("shutting down: waiting for requests to end and upstreams to be reassigned")
 	n.mu.Lock()
 	n.phase = peer.Draining
 	n.mu.Unlock()
 	srv.caller.Drain()
-	sleep(ctx, balancerGrace)
+	sleep(ctx, loadBalancerGrace)
 	if err := srv.caller.Shutdown(ctx); err != nil {
-		return errors.Wrap(err, "requests of callers did not end in time")
+		return errors.Wrap(err, "waiting for requests of callers to end")
 	}
-	n.log.Info("leaving: requests of callers have ended")
+	n.log.Info("shutting down: all requests of callers have ended")
 	for {
-		left := n.remaining()
-		if left == "" {
+		remaining := n.remainingWork()
+		if remaining == "" {
 			break
 		}
 		if ctx.Err() != nil {
-			return errors.New("duties were not taken over in time: " + left)
+			return errors.New("shutdown timed out: " + remaining)
 		}
-		sleep(ctx, leavePoll)
+		sleep(ctx, drainPollInterval)
 	}
-	n.log.Info("leaving: duties have moved")
+	n.log.Info("shutting down: upstreams are reassigned and the instance is not a member")
 	if err := srv.forward.Shutdown(ctx); err != nil {
-		return errors.Wrap(err, "forwarded requests did not end in time")
+		return errors.Wrap(err, "waiting for forwarded requests to end")
 	}
-	n.log.Info("left")
+	n.log.Info("shutdown complete")
 	return nil
 }
 
@@ -279,39 +284,41 @@
 	}
 }
 
-// remaining says which duties or requests this instance still has, or nothing.
-func (n *Instance) remaining() string {
+// remainingWork describes an upstream, a membership or requests that still keep
+// this instance from stopping. It returns "" if there are none.
+func (n *Instance) remainingWork() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.snapshot()
 	for _, u := range s.assignment.Upstreams {
 		if u.Dispatcher == n.self.ID {
-			return "it dispatches for " + string(u.ID)
+			return "still the dispatcher of upstream " + string(u.ID)
 		}
 	}
 	if m, ok := s.member(n.self.ID); ok && m.Boot == n.self.Boot {
-		return "it is in the member list"
+		return "still in the member list"
 	}
-	if len(n.pending) > 0 {
-		return strconv.Itoa(len(n.pending)) + " forwarded requests run"
+	if len(n.pendingJobs) > 0 {
+		return strconv.Itoa(len(n.pendingJobs)) + " forwarded requests still running"
 	}
 	return ""
 }
 
-// Live reports whether the process works at all.
+// Live always returns nil: an answer shows that the process is running.
 func (n *Instance) Live() error { return nil }
 
-// Ready reports why a balancer should send no requests here.
+// Ready returns the reason why a load balancer should send no requests to this
+// instance, or nil.
 func (n *Instance) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.phase != peer.Serving {
 		return errors.New("leaving")
 	}
-	if !n.holds(time.Now()) {
+	if !n.hasAuthority(time.Now()) {
 		return errors.New("no authority")
 	}
-	if o, out := n.outage(); out {
+	if o, out := n.currentOutage(); out {
 		return errors.Errorf("%s %s is out of service", o.Kind, o.Name)
 	}
 	if len(n.snapshot().catalogue.Entries) == 0 {
@@ -320,24 +327,24 @@
 	return nil
 }
 
-// Poll answers another instance's heartbeat.
+// Poll answers a poll (heartbeat) of another instance.
 func (n *Instance) Poll(_ context.Context, q peer.PollRequest) peer.PollAnswer {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.members.asked(now, q)
+	n.members.recordPoll(now, q)
 	if q.PollBack {
 		go n.poll(n.ctx, q.From.Address, false)
 	}
-	known := n.auth.Known()
+	known := n.authority.Known()
 	if !known.Covers(q.Known) {
-		go n.fetch(n.ctx, q.From.Address)
+		go n.fetchRecords(n.ctx, q.From.Address)
 	}
 	a := peer.PollAnswer{
 		From: n.self.ID, Boot: n.self.Boot, Phase: n.phase, Known: known, StoreAge: -1, Details: q.Details,
 	}
 	if q.Details {
-		a.Heard, a.Reports = n.members.heard(now), n.dispatch.Reports(now)
+		a.Heard, a.Reports = n.members.answerAges(now), n.dispatch.Reports(now)
 	}
 	if !n.storeAnswered.IsZero() {
 		a.StoreAge = now.Sub(n.storeAnswered)
@@ -345,7 +352,7 @@
 	return a
 }
 
-// Records gives a peer what it does not know yet.
+// Records returns the records that are newer than those that the peer knows.
 func (n *Instance) Records(_ context.Context, q peer.RecordsRequest) peer.RecordsAnswer {
 	s := n.snapshot()
 	var a peer.RecordsAnswer
@@ -358,16 +365,16 @@
 	return a
 }
 
-// event records something that the fleet did or suffered.
-func (n *Instance) event(now time.Time, kind, detail string) {
-	n.events.add(now, occurrence{kind: kind, detail: detail})
+// recordEvent adds an event to the history and logs it.
+func (n *Instance) recordEvent(now time.Time, kind, detail string) {
+	n.events.add(now, fleetEvent{kind: kind, detail: detail})
 	n.log.Info(kind, "detail", detail)
 }
 
-func (n *Instance) dispatchEvent(e dispatch.Event) {
-	n.events.add(time.Now(), occurrence{kind: "upstream " + string(e.Upstream) + " " + e.Kind, detail: e.Detail})
+func (n *Instance) recordDispatchEvent(e dispatch.Event) {
+	n.events.add(time.Now(), fleetEvent{kind: "upstream " + string(e.Upstream) + " " + e.Kind, detail: e.Detail})
 	if e.Kind == "lost" || e.Kind == "granted" {
-		n.news = true
+		n.plannerPollDue = true
 	}
 	if e.Kind == "granted" || e.Kind == "released" {
 		n.log.Debug("dispatch", "upstream", e.Upstream, "event", e.Kind, "detail", e.Detail)
@@ -376,27 +383,28 @@
 	n.log.Info("dispatch", "upstream", e.Upstream, "event", e.Kind, "detail", e.Detail)
 }
 
-// observeInterval bounds the cost of measuring states that change slowly.
-const observeInterval = 250 * time.Millisecond
+// gaugeInterval limits how often the gauges are computed, which is costly.
+const gaugeInterval = 250 * time.Millisecond
 
-// observe updates the gauges. The caller holds mu.
-func (n *Instance) observe(now time.Time) {
-	if now.Sub(n.observed) < observeInterval {
+// updateGauges sets the gauges if gaugeInterval has passed. The caller holds mu.
+func (n *Instance) updateGauges(now time.Time) {
+	if now.Sub(n.gaugesUpdatedAt) < gaugeInterval {
 		return
 	}
-	n.observed = now
-	n.metrics.AuthorityLeft(n.auth.Until().Sub(now))
+	n.gaugesUpdatedAt = now
+	n.metrics.AuthorityLeft(n.authority.Until().Sub(now))
 	n.metrics.Upstreams(n.dispatch.Reports(now))
-	n.metrics.Members(n.members.heardCount(now))
+	n.metrics.Members(n.members.aliveCount(now))
 	if left, ok := n.dispatch.LeaseLeft(now); ok {
 		n.metrics.LeaseLeft(left)
 	}
-	n.settleRevisions(now)
+	n.recordInForce(now)
 }
 
-// settleRevisions notes which revisions have come into force. The caller holds mu.
-func (n *Instance) settleRevisions(now time.Time) {
-	for _, took := range n.revisions.settle(now, func(k authority.Known) bool { return n.auth.InForce(now, k) }) {
+// recordInForce records which revisions have come into force and reports to the
+// metrics how long each took. The caller holds mu.
+func (n *Instance) recordInForce(now time.Time) {
+	for _, took := range n.revisions.takeInForce(now, func(k authority.Known) bool { return n.authority.InForce(now, k) }) {
 		n.metrics.InForceAfter(took)
 	}
 }
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -10,8 +10,9 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// admit takes a token of every limit, or says why not.
-func (n *Instance) admit(ctx context.Context, limits []limit.Bounded, deadline time.Time) *fleet.Refusal {
+// acquireTokens takes one token of every limit, waiting until the deadline for
+// calls to the homes of the limits. It returns nil if the request is admitted.
+func (n *Instance) acquireTokens(ctx context.Context, limits []limit.Bounded, deadline time.Time) *fleet.Refusal {
 	for {
 		now := time.Now()
 		if !now.Before(deadline) || ctx.Err() != nil {
@@ -26,22 +27,22 @@
 			n.mu.Unlock()
 			return &fleet.Refusal{Reason: d.Reason, Detail: "limit " + string(d.Limit), RetryAfter: d.RetryAfter}
 		case limit.Need:
-			n.callHomes(now, d.Calls)
-			first, second := n.tokenWaits(d.Waits)
+			n.sendTokenCalls(now, d.Calls)
+			first, second := n.tokenCallsDone(d.Waits)
 			n.mu.Unlock()
-			awaitTokens(ctx, deadline, first, second)
+			awaitTokenCall(ctx, deadline, first, second)
 		}
 	}
 }
 
-// tokenWaits returns channels that close when a call for one of the limits ends.
-// A request has two limits at most. The caller holds mu.
-func (n *Instance) tokenWaits(ids []fleet.LimitID) (first, second <-chan struct{}) {
+// tokenCallsDone returns channels that are closed when the calls for tokens of
+// the limits return. A request has at most two limits. The caller holds mu.
+func (n *Instance) tokenCallsDone(ids []fleet.LimitID) (first, second <-chan struct{}) {
 	for i, id := range ids {
-		ch := n.waits[id]
+		ch := n.tokenCalls[id]
 		if ch == nil {
 			ch = make(chan struct{})
-			n.waits[id] = ch
+			n.tokenCalls[id] = ch
 		}
 		if i == 0 {
 			first = ch
@@ -52,7 +53,7 @@
 	return first, second
 }
 
-func awaitTokens(ctx context.Context, deadline time.Time, first, second <-chan struct{}) {
+func awaitTokenCall(ctx context.Context, deadline time.Time, first, second <-chan struct{}) {
 	t := time.NewTimer(time.Until(deadline))
 	defer t.Stop()
 	select {
@@ -63,18 +64,19 @@
 	}
 }
 
-// callHomes sends the calls of the holder. The caller holds mu.
-func (n *Instance) callHomes(sent time.Time, calls []limit.Call) {
+// sendTokenCalls sends the calls that the holder asks for. The caller holds mu.
+func (n *Instance) sendTokenCalls(sent time.Time, calls []limit.Call) {
 	for _, c := range calls {
-		go n.callHome(sent, c)
+		go n.sendTokenCall(sent, c)
 	}
 }
 
-// callHome sends one call and reports its end to the holder.
-func (n *Instance) callHome(sent time.Time, c limit.Call) {
-	lease, err := n.askHome(n.ctx, c)
+// sendTokenCall sends one call to the home of its limit and reports the result to
+// the holder.
+func (n *Instance) sendTokenCall(sent time.Time, c limit.Call) {
+	lease, err := n.callHome(n.ctx, c)
 	if err != nil {
-		n.log.Debug("no tokens", "limit", c.ID, "error", err)
+		n.log.Debug("call for tokens failed", "limit", c.ID, "error", err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,15 +85,15 @@
 	} else {
 		n.holder.Add(sent, c.ID, lease)
 	}
-	if ch := n.waits[c.ID]; ch != nil {
+	if ch := n.tokenCalls[c.ID]; ch != nil {
 		close(ch)
-		delete(n.waits, c.ID)
+		delete(n.tokenCalls, c.ID)
 	}
 }
 
-// askHome asks the home that this instance knows of. A lease without TTL says
-// that it is not the home now.
-func (n *Instance) askHome(ctx context.Context, c limit.Call) (limit.Lease, error) {
+// callHome sends the call to the home of the limit according to the snapshot. A
+// lease without TTL means that the called instance is not the home now.
+func (n *Instance) callHome(ctx context.Context, c limit.Call) (limit.Lease, error) {
 	s := n.snapshot()
 	home := s.assignment.Home(c.ID)
 	q := peer.TokensRequest{Holder: n.self.ID, Call: c}
@@ -107,73 +109,77 @@
 	return a.Lease, err
 }
 
-// Tokens grants tokens of a limit whose home this instance is.
+// Tokens grants tokens of a limit if this instance is its active home.
 func (n *Instance) Tokens(_ context.Context, q peer.TokensRequest) peer.TokensAnswer {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	id := q.Call.ID
 	bound, ok := n.snapshot().index.Limit(id)
-	if !ok || !n.holds(now) {
+	if !ok || !n.hasAuthority(now) {
 		return peer.TokensAnswer{}
 	}
-	if n.becomeHome(now, id) != homeActive {
+	if n.checkHome(now, id) != homeActive {
 		return peer.TokensAnswer{}
 	}
 	return peer.TokensAnswer{Lease: n.home.Take(now, bound, q.Holder, q.Call)}
 }
 
-// applyLimits makes a call to every bucket, so that a changed limit applies from
-// now on and not from the next call for tokens. The caller holds mu.
-func (n *Instance) applyLimits(now time.Time, s *snapshot) {
-	n.homes.unsettled = true // there may be new limits
+// applyLimitChanges makes an empty call to every bucket, so that a changed limit
+// applies immediately and not only from the next call for tokens. The caller
+// holds mu.
+func (n *Instance) applyLimitChanges(now time.Time, s *snapshot) {
+	n.homes.needsCheck = true // the catalogue may contain new limits
 	for id := range n.homes.active {
 		bound, _ := s.index.Limit(id)
 		n.home.Take(now, bound, n.self.ID, limit.Call{ID: id})
 	}
 }
 
-// becomeHome returns the state of a limit and starts what moves it on. The caller
-// holds mu.
-func (n *Instance) becomeHome(now time.Time, id fleet.LimitID) homeState {
+// checkHome returns the state of a limit. If former homes have to release the
+// limit first, it starts to ask them. The caller holds mu.
+func (n *Instance) checkHome(now time.Time, id fleet.LimitID) homeState {
 	state, former := n.homes.state(now, id)
 	if len(former) > 0 {
-		go n.takeOver(id, n.homes.newest().revision, former)
+		go n.takeOverHome(id, n.homes.newest().revision, former)
 	}
 	return state
 }
 
-// holds reports whether this instance has authority, and notes a lapse. It is
-// called before any answer that could extend the authority is evaluated, so that
-// no lapse goes unnoticed. The caller holds mu.
-func (n *Instance) holds(now time.Time) bool {
+// hasAuthority reports whether this instance has authority. If not, it resets the
+// home table. It must be called before any answer that could extend the authority
+// is evaluated, so that every loss of authority is noticed. The caller holds mu.
+func (n *Instance) hasAuthority(now time.Time) bool {
 	if now.Before(n.authorityEnd(now)) {
 		return true
 	}
-	n.homes.lapse()
+	n.homes.loseAuthority()
 	return false
 }
 
-// authorityEnd returns when the authority ends. Asking the table at every tick took
-// an eighth of an idle instance's processor time, so the answer is kept while it
-// is far off; it falls only when the member list changes. The caller holds mu.
+// authorityEnd returns when the authority ends. Computing it from the authority
+// table at every tick took an eighth of the CPU time of an idle instance, so the
+// result is cached while at least 3/4 of the authority TTL remain. The end moves
+// to an earlier time only if the member list changes, which clears the cache. The
+// caller holds mu.
 func (n *Instance) authorityEnd(now time.Time) time.Time {
-	if n.until.Sub(now) < n.cfg.AuthorityTTL*3/4 {
-		n.until = n.auth.Until()
+	if n.cachedAuthorityEnd.Sub(now) < n.cfg.AuthorityTTL*3/4 {
+		n.cachedAuthorityEnd = n.authority.Until()
 	}
-	return n.until
+	return n.cachedAuthorityEnd
 }
 
-// takeOver asks the former homes of a limit to release it. A former home that
-// cannot answer is waited out by homeTable.settle.
-func (n *Instance) takeOver(id fleet.LimitID, revision fleet.Revision, former []fleet.InstanceID) {
-	if _, busy := n.takeovers.LoadOrStore(id, true); busy {
+// takeOverHome asks the former homes of a limit to release it. If one of them
+// cannot answer, the limit becomes active when homeTable.dropEndedEpochs finds
+// that the former home can no longer act.
+func (n *Instance) takeOverHome(id fleet.LimitID, revision fleet.Revision, former []fleet.InstanceID) {
+	if _, busy := n.activeTakeovers.LoadOrStore(id, true); busy {
 		return
 	}
-	defer n.takeovers.Delete(id)
+	defer n.activeTakeovers.Delete(id)
 	var level fleet.Tokens
 	for _, h := range former {
-		addr, ended := n.formerHome(h)
+		addr, ended := n.formerHomeAddress(h)
 		if ended {
 			continue
 		}
@@ -187,57 +193,57 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if n.holds(now) {
-		n.homes.released(now, id, revision, level)
+	if n.hasAuthority(now) {
+		n.homes.activateReleased(now, id, revision, level)
 	}
 }
 
-// formerHome returns the address of a former home, or that its process has
-// certainly ended.
-func (n *Instance) formerHome(id fleet.InstanceID) (string, bool) {
+// formerHomeAddress returns the peer address of a former home, and whether its
+// process has certainly ended.
+func (n *Instance) formerHomeAddress(id fleet.InstanceID) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range n.homes.epochs {
 		for _, m := range e.assignment.Members {
 			if m.ID == id {
-				return m.Address, n.members.ended(id, m.Boot)
+				return m.Address, n.members.hasEnded(id, m.Boot)
 			}
 		}
 	}
 	return "", false
 }
 
-// HomeRelease answers the new home of limits.
+// HomeRelease releases limits to their new home, which asks for them.
 func (n *Instance) HomeRelease(_ context.Context, q peer.HomeReleaseRequest) peer.HomeReleaseAnswer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.holds(time.Now())
+	n.hasAuthority(time.Now())
 	levels, done := n.homes.release(n.snapshot().known.Assignment, q.Assignment, q.IDs)
 	return peer.HomeReleaseAnswer{Done: done, Levels: levels}
 }
 
-// settleHomes drops the epochs of homes that nobody acts on any more. The caller
-// holds mu.
-func (n *Instance) settleHomes(now time.Time) {
-	if !n.holds(now) {
+// checkHomes drops the home epochs that have ended and activates the limits whose
+// home this instance has become. The caller holds mu.
+func (n *Instance) checkHomes(now time.Time) {
+	if !n.hasAuthority(now) {
 		return
 	}
-	n.homes.settle(func(rev fleet.Revision) bool {
-		return n.auth.InForce(now, authority.Known{Assignment: rev})
+	n.homes.dropEndedEpochs(func(rev fleet.Revision) bool {
+		return n.authority.InForce(now, authority.Known{Assignment: rev})
 	})
-	if !n.homes.unsettled || now.Sub(n.homesChecked) < homesInterval {
+	if !n.homes.needsCheck || now.Sub(n.homesCheckedAt) < homeCheckInterval {
 		return
 	}
-	n.homesChecked = now
-	// Buckets start empty. Becoming home before the first request asks spares
-	// that request a refusal.
-	n.homes.unsettled = false
+	n.homesCheckedAt = now
+	// Buckets start empty. A home that is active before the first request can
+	// refill its bucket, so that this request is not refused.
+	n.homes.needsCheck = false
 	for _, id := range n.snapshot().index.Limits() {
-		if n.becomeHome(now, id) == homeWaiting {
-			n.homes.unsettled = true
+		if n.checkHome(now, id) == homeWaiting {
+			n.homes.needsCheck = true
 		}
 	}
 }
 
-// homesInterval bounds the cost of looking through all limits.
-const homesInterval = 100 * time.Millisecond
+// homeCheckInterval limits how often all limits are examined.
+const homeCheckInterval = 100 * time.Millisecond
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -14,138 +14,142 @@
 
 const (
 	pollInterval = 200 * time.Millisecond
-	// lostAfter is three missed polls.
-	lostAfter = 600 * time.Millisecond
-	// detailsInterval is how often instances other than the planner ask for
-	// details, from which they learn how warm upstreams are.
+	// lostTimeout is three poll intervals.
+	lostTimeout = 600 * time.Millisecond
+	// detailsInterval is how often instances other than the planner ask a peer for
+	// details, from which they learn how far upstreams are warmed up.
 	detailsInterval = time.Second
-	// joinAlone is how long a starting instance looks for live members before it
-	// plans by itself; it exceeds the time in which a member is declared lost.
-	joinAlone    = 1500 * time.Millisecond
-	joinerFresh  = time.Second
-	listInterval = time.Second
+	// bootstrapTimeout is how long a starting instance looks for live members
+	// before it plans alone. It is longer than the time after which a member is
+	// declared lost.
+	bootstrapTimeout = 1500 * time.Millisecond
+	// joinRequestTTL is how long a poll counts as a request to join.
+	joinRequestTTL = time.Second
+	listInterval   = time.Second
 )
 
-// sighting is the last answer of a member.
-type sighting struct {
-	since     time.Time // when the member was first listed
-	at        time.Time // of the last answer; zero if none
-	answer    peer.PollAnswer
-	details   peer.PollAnswer // last answer with details
-	detailsAt time.Time       // zero if none
+// pollRecord holds the latest poll answers of a member.
+type pollRecord struct {
+	listedAt         time.Time // when the member was first in the assignment
+	answeredAt       time.Time // time of the last answer; zero if none
+	answer           peer.PollAnswer
+	detailedAnswer   peer.PollAnswer // last answer that contained details
+	detailedAnswerAt time.Time       // time of detailedAnswer; zero if none
 }
 
-// age returns the time since the member last answered or was first listed.
-func (s *sighting) age(now time.Time) time.Duration {
-	if s.at.IsZero() {
-		return now.Sub(s.since)
+// age returns the time since the last answer or, if there was none, since the
+// member was first in the assignment.
+func (r *pollRecord) age(now time.Time) time.Duration {
+	if r.answeredAt.IsZero() {
+		return now.Sub(r.listedAt)
 	}
-	return now.Sub(s.at)
+	return now.Sub(r.answeredAt)
 }
 
-// memberTable holds what this instance sees of the members and of instances that
-// want to join. It does no I/O.
+// memberTable holds what this instance knows about the members and about
+// instances that ask to join. It does no I/O.
 type memberTable struct {
-	self    fleet.InstanceID
-	boot    fleet.BootID
-	seen    map[fleet.InstanceID]*sighting
-	boots   map[fleet.InstanceID]fleet.BootID
-	joiners map[fleet.InstanceID]joiner
-	listed  map[fleet.InstanceID]bool // named by the platform's list at some time
-	gone    map[fleet.InstanceID]bool // absent from the list now, after having been on it
-	reborn  map[fleet.InstanceID]bool // answered under another boot id than listed
+	self         fleet.InstanceID
+	boot         fleet.BootID
+	polls        map[fleet.InstanceID]*pollRecord
+	boots        map[fleet.InstanceID]fleet.BootID
+	joinRequests map[fleet.InstanceID]joinRequest
+	everListed   map[fleet.InstanceID]bool // instances that have ever been in the platform's list
+	delisted     map[fleet.InstanceID]bool // instances that were in the platform's list and are not now
+	restarted    map[fleet.InstanceID]bool // members that answered with another boot id than in the assignment
 }
 
-type joiner struct {
-	member assignment.Member
-	at     time.Time
+type joinRequest struct {
+	member   assignment.Member
+	polledAt time.Time
 }
 
 func newMemberTable(self fleet.InstanceID, boot fleet.BootID) *memberTable {
 	return &memberTable{
-		self: self, boot: boot, seen: map[fleet.InstanceID]*sighting{}, boots: map[fleet.InstanceID]fleet.BootID{},
-		joiners: map[fleet.InstanceID]joiner{}, listed: map[fleet.InstanceID]bool{},
-		gone: map[fleet.InstanceID]bool{}, reborn: map[fleet.InstanceID]bool{},
+		self: self, boot: boot, polls: map[fleet.InstanceID]*pollRecord{}, boots: map[fleet.InstanceID]fleet.BootID{},
+		joinRequests: map[fleet.InstanceID]joinRequest{}, everListed: map[fleet.InstanceID]bool{},
+		delisted: map[fleet.InstanceID]bool{}, restarted: map[fleet.InstanceID]bool{},
 	}
 }
 
-// update takes over a new member list. A member under a new boot id is a new
+// update replaces the member list. A member with a new boot id counts as a new
 // member.
 func (t *memberTable) update(now time.Time, members []assignment.Member) {
 	boots := make(map[fleet.InstanceID]fleet.BootID, len(members))
 	for _, m := range members {
 		boots[m.ID] = m.Boot
-		if t.boots[m.ID] != m.Boot || t.seen[m.ID] == nil {
-			t.seen[m.ID] = &sighting{since: now}
-			delete(t.reborn, m.ID)
-			delete(t.gone, m.ID)
+		if t.boots[m.ID] != m.Boot || t.polls[m.ID] == nil {
+			t.polls[m.ID] = &pollRecord{listedAt: now}
+			delete(t.restarted, m.ID)
+			delete(t.delisted, m.ID)
 		}
-		if j, ok := t.joiners[m.ID]; ok && j.member.Boot == m.Boot {
-			delete(t.joiners, m.ID)
+		if j, ok := t.joinRequests[m.ID]; ok && j.member.Boot == m.Boot {
+			delete(t.joinRequests, m.ID)
 		}
 	}
-	for id := range t.seen {
+	for id := range t.polls {
 		if _, ok := boots[id]; !ok {
-			delete(t.seen, id)
-			delete(t.reborn, id)
+			delete(t.polls, id)
+			delete(t.restarted, id)
 		}
 	}
 	t.boots = boots
 }
 
-// answered records a poll answer. It reports whether the answer is the listed
-// member's. An answer under another boot id proves that the listed process has
-// ended, since both listen on the same address.
-func (t *memberTable) answered(now time.Time, a peer.PollAnswer) bool {
+// recordAnswer records a poll answer and reports whether it came from the process
+// that the assignment names. An answer with another boot id proves that this
+// process has ended, since both listen on the same address.
+func (t *memberTable) recordAnswer(now time.Time, a peer.PollAnswer) bool {
 	boot, ok := t.boots[a.From]
 	if !ok {
 		return false
 	}
 	if boot != a.Boot {
-		t.reborn[a.From] = true
+		t.restarted[a.From] = true
 		return false
 	}
-	s := t.seen[a.From]
-	s.at, s.answer = now, a
+	record := t.polls[a.From]
+	record.answeredAt, record.answer = now, a
 	if a.Details {
-		s.detailsAt, s.details = now, a
+		record.detailedAnswerAt, record.detailedAnswer = now, a
 	}
 	return true
 }
 
-// asked records a poll of an instance that is not listed under its boot id.
-func (t *memberTable) asked(now time.Time, m peer.PollRequest) {
+// recordPoll records a poll as a request to join if the polling process is not a
+// member.
+func (t *memberTable) recordPoll(now time.Time, m peer.PollRequest) {
 	if m.Phase != peer.Serving || t.boots[m.From.ID] == m.From.Boot {
 		return
 	}
-	t.joiners[m.From.ID] = joiner{member: m.From, at: now}
+	t.joinRequests[m.From.ID] = joinRequest{member: m.From, polledAt: now}
 }
 
-// ended reports whether the run of a member under the boot id has certainly
-// ended.
-func (t *memberTable) ended(id fleet.InstanceID, boot fleet.BootID) bool {
-	return t.gone[id] || t.reborn[id] || t.boots[id] != "" && t.boots[id] != boot
+// hasEnded reports whether the process of an instance with the given boot id has
+// certainly ended.
+func (t *memberTable) hasEnded(id fleet.InstanceID, boot fleet.BootID) bool {
+	return t.delisted[id] || t.restarted[id] || t.boots[id] != "" && t.boots[id] != boot
 }
 
-// list takes over the platform's list.
-func (t *memberTable) list(listed []platform.Listed) {
-	now := make(map[fleet.InstanceID]bool)
+// updateList replaces the platform's instance list.
+func (t *memberTable) updateList(listed []platform.Listed) {
+	current := make(map[fleet.InstanceID]bool)
 	for _, l := range listed {
 		if l.Kind == platform.KindInstance {
-			now[fleet.InstanceID(l.Name)] = true
-			t.listed[fleet.InstanceID(l.Name)] = true
+			current[fleet.InstanceID(l.Name)] = true
+			t.everListed[fleet.InstanceID(l.Name)] = true
 		}
 	}
-	for id := range t.listed {
-		t.gone[id] = !now[id]
+	for id := range t.everListed {
+		t.delisted[id] = !current[id]
 	}
 }
 
-// departed returns the members whose process has certainly ended.
-func (t *memberTable) departed() []fleet.InstanceID {
+// endedMembers returns the members whose process has certainly ended.
+func (t *memberTable) endedMembers() []fleet.InstanceID {
 	var out []fleet.InstanceID
 	for id, boot := range t.boots {
-		if id == t.self && boot != t.boot || id != t.self && (t.gone[id] || t.reborn[id]) {
+		if id == t.self && boot != t.boot || id != t.self && (t.delisted[id] || t.restarted[id]) {
 			out = append(out, id)
 		}
 	}
@@ -153,10 +157,10 @@
 	return out
 }
 
-// heard returns the age of each member's last answer.
-func (t *memberTable) heard(now time.Time) map[fleet.InstanceID]time.Duration {
-	out := make(map[fleet.InstanceID]time.Duration, len(t.seen))
-	for id, s := range t.seen {
+// answerAges returns the age of the last answer of each other member.
+func (t *memberTable) answerAges(now time.Time) map[fleet.InstanceID]time.Duration {
+	out := make(map[fleet.InstanceID]time.Duration, len(t.polls))
+	for id, s := range t.polls {
 		if id != t.self {
 			out[id] = s.age(now)
 		}
@@ -164,14 +168,14 @@
 	return out
 }
 
-// alive reports whether the member answered this instance recently.
+// alive reports whether the member answered a poll of this instance recently.
 func (t *memberTable) alive(now time.Time, id fleet.InstanceID) bool {
-	s := t.seen[id]
-	return s != nil && !s.at.IsZero() && now.Sub(s.at) <= lostAfter
+	s := t.polls[id]
+	return s != nil && !s.answeredAt.IsZero() && now.Sub(s.answeredAt) <= lostTimeout
 }
 
-// heardCount counts the live members, this one included.
-func (t *memberTable) heardCount(now time.Time) int {
+// aliveCount returns the number of live members, including this instance.
+func (t *memberTable) aliveCount(now time.Time) int {
 	count := 0
 	for id := range t.boots {
 		if id == t.self && t.boots[id] == t.boot || t.alive(now, id) {
@@ -181,17 +185,17 @@
 	return count
 }
 
-// lost returns the members that a majority has not heard. Members that have
-// certainly ended do not count in the majority, and are lost themselves.
+// lost returns the members that a majority cannot reach. Members whose process has
+// certainly ended do not count towards the majority and are lost themselves.
 func (t *memberTable) lost(now time.Time) []fleet.InstanceID {
-	departed := t.departed()
+	departed := t.endedMembers()
 	voters := len(t.boots) - len(departed)
 	var out []fleet.InstanceID
 	for id := range t.boots {
 		if id == t.self {
 			continue
 		}
-		if slices.Contains(departed, id) || 2*t.unheardBy(now, id) > voters {
+		if slices.Contains(departed, id) || 2*t.countUnreachable(now, id) > voters {
 			out = append(out, id)
 		}
 	}
@@ -199,27 +203,28 @@
 	return out
 }
 
-// unheardBy counts the members, this one included, that have not heard id.
-func (t *memberTable) unheardBy(now time.Time, id fleet.InstanceID) int {
+// countUnreachable returns the number of members, including this instance, that
+// have had no answer from id within lostTimeout.
+func (t *memberTable) countUnreachable(now time.Time, id fleet.InstanceID) int {
 	n := 0
-	if s := t.seen[id]; s != nil && s.age(now) > lostAfter {
+	if s := t.polls[id]; s != nil && s.age(now) > lostTimeout {
 		n++
 	}
-	for other, s := range t.seen {
+	for other, s := range t.polls {
 		if other == t.self || other == id || !t.alive(now, other) {
 			continue
 		}
-		if age, ok := s.details.Heard[id]; ok && now.Sub(s.detailsAt) <= lostAfter && age+now.Sub(s.detailsAt) > lostAfter {
+		if age, ok := s.detailedAnswer.Heard[id]; ok && now.Sub(s.detailedAnswerAt) <= lostTimeout && age+now.Sub(s.detailedAnswerAt) > lostTimeout {
 			n++
 		}
 	}
 	return n
 }
 
-// leaving returns the live members that ask to be removed.
+// leaving returns the live members that are draining, to be removed from the list.
 func (t *memberTable) leaving(now time.Time) []fleet.InstanceID {
 	var out []fleet.InstanceID
-	for id, s := range t.seen {
+	for id, s := range t.polls {
 		if t.alive(now, id) && s.answer.Phase == peer.Draining {
 			out = append(out, id)
 		}
@@ -228,12 +233,12 @@
 	return out
 }
 
-// joining returns the instances that recently asked to become members.
+// joining returns the instances that recently asked to become members, by id.
 func (t *memberTable) joining(now time.Time) []assignment.Member {
 	var out []assignment.Member
-	for id, j := range t.joiners {
-		if now.Sub(j.at) > joinerFresh {
-			delete(t.joiners, id)
+	for id, j := range t.joinRequests {
+		if now.Sub(j.polledAt) > joinRequestTTL {
+			delete(t.joinRequests, id)
 			continue
 		}
 		out = append(out, j.member)
@@ -247,9 +252,10 @@
 	return out
 }
 
-// planner reports whether this instance should plan: it is the lowest live
-// member, or no member lives.
-func (t *memberTable) planner(now, started time.Time) bool {
+// shouldPlan reports whether this instance is the planner: the live member with
+// the lowest id. An instance that is not a member plans if there are no members,
+// or if it has found no live member within bootstrapTimeout.
+func (t *memberTable) shouldPlan(now, started time.Time) bool {
 	member := t.boots[t.self] == t.boot
 	for id := range t.boots {
 		if id == t.self || !t.alive(now, id) {
@@ -259,10 +265,10 @@
 			return false
 		}
 	}
-	return member || len(t.boots) == 0 || now.Sub(started) > joinAlone
+	return member || len(t.boots) == 0 || now.Sub(started) > bootstrapTimeout
 }
 
-// runPolls polls every other member at a fixed interval, and at once when poked.
+// runPolls polls the other members periodically, and immediately when triggered.
 func (n *Instance) runPolls(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -274,13 +280,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-n.pokePolls:
+		case <-n.triggerPolls:
 		}
 	}
 }
 
-// pollTargets returns the peer addresses of the other members, and the seeds
-// while this instance is no member.
+// pollTargets returns the peer addresses of the other members and, while this
+// instance is not a member, also those of the seeds.
 func (n *Instance) pollTargets() []string {
 	s := n.snapshot()
 	var out []string
@@ -303,14 +309,14 @@
 	return out
 }
 
-// tellPlanner makes the planner poll this instance at once if something happened
-// that the planner acts on. The caller holds mu.
-func (n *Instance) tellPlanner(now time.Time) {
-	if !n.news {
+// requestPlannerPoll asks the planner to poll this instance immediately if a
+// dispatch event requires a decision of the planner. The caller holds mu.
+func (n *Instance) requestPlannerPoll(now time.Time) {
+	if !n.plannerPollDue {
 		return
 	}
-	n.news = false
-	if n.members.planner(now, n.started) {
+	n.plannerPollDue = false
+	if n.members.shouldPlan(now, n.started) {
 		return
 	}
 	for _, m := range n.snapshot().assignment.Members {
@@ -321,18 +327,19 @@
 	}
 }
 
-// poll asks one peer, unless the last poll of it has not ended.
+// poll polls one peer, unless an earlier poll of it is still in progress. With
+// pollBack the peer is asked to poll this instance in turn.
 func (n *Instance) poll(ctx context.Context, addr string, pollBack bool) {
-	if _, busy := n.polling.LoadOrStore(addr, true); busy {
+	if _, busy := n.activePolls.LoadOrStore(addr, true); busy {
 		return
 	}
-	defer n.polling.Delete(addr)
+	defer n.activePolls.Delete(addr)
 	n.mu.Lock()
 	sent := time.Now()
-	q := peer.PollRequest{From: n.self, Phase: n.phase, Known: n.auth.Known(), PollBack: pollBack}
-	q.Details = n.members.planner(sent, n.started) || sent.Sub(n.detailed[addr]) >= detailsInterval
+	q := peer.PollRequest{From: n.self, Phase: n.phase, Known: n.authority.Known(), PollBack: pollBack}
+	q.Details = n.members.shouldPlan(sent, n.started) || sent.Sub(n.detailsPolledAt[addr]) >= detailsInterval
 	if q.Details {
-		n.detailed[addr] = sent
+		n.detailsPolledAt[addr] = sent
 	}
 	n.mu.Unlock()
 	a, err := n.peers.Poll(ctx, addr, q)
@@ -340,46 +347,46 @@
 	if err != nil {
 		return
 	}
-	n.pollAnswered(sent, time.Now(), a)
+	n.recordPollAnswer(sent, time.Now(), a)
 	if !q.Known.Covers(a.Known) {
-		n.fetch(ctx, addr)
+		n.fetchRecords(ctx, addr)
 	}
 }
 
-func (n *Instance) pollAnswered(sent, now time.Time, a peer.PollAnswer) {
+func (n *Instance) recordPollAnswer(sent, now time.Time, a peer.PollAnswer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.holds(now)
-	if !n.members.answered(now, a) {
-		n.confirmGone()
+	n.hasAuthority(now)
+	if !n.members.recordAnswer(now, a) {
+		n.confirmEnded()
 		return
 	}
 	for id, r := range a.Reports {
 		n.warmth[id] = dispatch.Warmth{Boot: r.Boot, Limit: r.Limit}
 	}
-	n.auth.PeerAnswered(sent, now, runOf(a.From, a.Boot), a.Known)
+	n.authority.PeerAnswered(sent, now, runID(a.From, a.Boot), a.Known)
 }
 
-// confirmGone tells the authority table which members have certainly ended. The
-// caller holds mu.
-func (n *Instance) confirmGone() {
-	var gone []fleet.InstanceID
-	for _, id := range n.members.departed() {
-		gone = append(gone, runOf(id, n.members.boots[id]))
+// confirmEnded tells the authority table which current and previous members have
+// certainly ended. The caller holds mu.
+func (n *Instance) confirmEnded() {
+	var ended []fleet.InstanceID
+	for _, id := range n.members.endedMembers() {
+		ended = append(ended, runID(id, n.members.boots[id]))
 	}
 	for _, m := range n.snapshot().assignment.PreviousMembers {
-		if n.members.boots[m.ID] != m.Boot && n.members.ended(m.ID, m.Boot) {
-			gone = append(gone, m.Run())
+		if n.members.boots[m.ID] != m.Boot && n.members.hasEnded(m.ID, m.Boot) {
+			ended = append(ended, m.Run())
 		}
 	}
-	n.auth.ConfirmGone(gone)
+	n.authority.ConfirmGone(ended)
 }
 
-func runOf(id fleet.InstanceID, boot fleet.BootID) fleet.InstanceID {
+func runID(id fleet.InstanceID, boot fleet.BootID) fleet.InstanceID {
 	return assignment.Member{ID: id, Boot: boot}.Run()
 }
 
-// runList reads the platform's instance list.
+// runList reads the platform's instance list periodically.
 func (n *Instance) runList(ctx context.Context) error {
 	tick := time.NewTicker(listInterval)
 	defer tick.Stop()
@@ -389,12 +396,12 @@
 		listed, err := n.list.Fetch(callCtx)
 		cancel()
 		if err != nil {
-			n.log.Debug("instance list not read", "error", err)
+			n.log.Debug("instance list could not be read", "error", err)
 		} else {
 			n.mu.Lock()
-			n.listed = listed
-			n.members.list(listed)
-			n.confirmGone()
+			n.platformList = listed
+			n.members.updateList(listed)
+			n.confirmEnded()
 			n.mu.Unlock()
 		}
 		select {
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -22,46 +22,46 @@
 )
 
 const (
-	// explainLimit bounds the moves and the refusals of an explanation.
-	explainLimit = 20
+	// maxExplained is the maximum number of moves and of refusals in an explanation.
+	maxExplained = 20
 	applyTimeout = 3 * time.Second
 )
 
-// operators is the instance as operators see it.
-type operators struct{ *Instance }
+// operatorAPI implements the operator interface on an instance.
+type operatorAPI struct{ *Instance }
 
-// Catalogue returns the catalogue that this instance knows.
-func (n operators) Catalogue(context.Context) (*catalogue.Catalogue, fleet.Revision, error) {
+// Catalogue returns the catalogue that this instance knows and its revision.
+func (n operatorAPI) Catalogue(context.Context) (*catalogue.Catalogue, fleet.Revision, error) {
 	s := n.snapshot()
 	return s.catalogue, s.known.Catalogue, nil
 }
 
-// Apply stores an edit of the catalogue that is based on a revision.
-func (n operators) Apply(ctx context.Context, base fleet.Revision, c *catalogue.Catalogue, by string) (fleet.Revision, error) {
+// Apply writes a new catalogue to the store if the stored one is at revision base.
+func (n operatorAPI) Apply(ctx context.Context, base fleet.Revision, c *catalogue.Catalogue, by string) (fleet.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	// A write to a store that is down ends in doubt, because its bytes may have
-	// arrived. A read that fails beforehand shows that nothing was changed.
+	// A write to an unreachable store has an unknown outcome, because its bytes may
+	// have arrived. If the read before it fails, nothing was changed for certain.
 	n.metrics.StoreCall("changes")
 	if _, err := n.store.Changes(ctx, platform.KeyCatalogue, base, 0); err != nil {
-		return 0, operatorError(err)
+		return 0, asOperatorError(err)
 	}
 	now, value := time.Now(), c.Format()
 	n.metrics.StoreCall("swap")
 	rev, err := n.store.Swap(ctx, platform.KeyCatalogue, base, value, by, now)
 	if err != nil {
-		n.poke()
-		return 0, operatorError(err)
+		n.refreshNow()
+		return 0, asOperatorError(err)
 	}
-	if err := n.learn(time.Now(), peer.RecordsAnswer{CatalogueRevision: rev, Catalogue: value}); err != nil {
+	if err := n.applyRecords(time.Now(), peer.RecordsAnswer{CatalogueRevision: rev, Catalogue: value}); err != nil {
 		return 0, err
 	}
-	n.event(now, "catalogue", "revision "+formatRevision(rev)+" written by "+by)
-	n.poke()
+	n.recordEvent(now, "catalogue", "revision "+formatRevision(rev)+" written by "+by)
+	n.refreshNow()
 	return rev, nil
 }
 
-func operatorError(err error) error {
+func asOperatorError(err error) error {
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
 		return &operator.ConflictError{Base: conflict.Expected, Current: conflict.Current, By: conflict.By}
@@ -73,8 +73,9 @@
 	return &operator.UnavailableError{Err: err}
 }
 
-// InForce reports how far a catalogue revision has come.
-func (n operators) InForce(_ context.Context, rev fleet.Revision) (operator.Progress, error) {
+// InForce reports how many members know a catalogue revision, and whether it is
+// in force.
+func (n operatorAPI) InForce(_ context.Context, rev fleet.Revision) (operator.Progress, error) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,41 +88,41 @@
 			}
 			continue
 		}
-		if v := n.members.seen[m.ID]; v != nil && !v.at.IsZero() && v.answer.Known.Catalogue >= rev {
+		if v := n.members.polls[m.ID]; v != nil && !v.answeredAt.IsZero() && v.answer.Known.Catalogue >= rev {
 			p.Learned++
 		}
 	}
-	p.InForce = s.known.Catalogue >= rev && n.auth.InForce(now, authority.Known{Catalogue: rev})
-	n.settleRevisions(now)
+	p.InForce = s.known.Catalogue >= rev && n.authority.InForce(now, authority.Known{Catalogue: rev})
+	n.recordInForce(now)
 	if at, ok := n.revisions.inForceSince(rev); ok {
 		p.Since = at
 	}
 	return p, nil
 }
 
-// Status returns the fleet as this instance sees it.
-func (n operators) Status(context.Context) (operator.Status, error) {
+// Status returns the state of the fleet as this instance knows it.
+func (n operatorAPI) Status(context.Context) (operator.Status, error) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.snapshot()
 	out := operator.Status{
 		Instance: n.self.ID, Zone: n.self.Zone, Boot: n.self.Boot, Now: now,
-		Authority: n.auth.Until(), StoreAnswered: n.storeAnswered,
+		Authority: n.authority.Until(), StoreAnswered: n.storeAnswered,
 		Catalogue: s.known.Catalogue, Assignment: s.known.Assignment,
 		OutOfService: s.catalogue.OutOfService,
 	}
 	for _, m := range s.assignment.Members {
 		heard := now
 		if m.ID != n.self.ID {
-			heard = n.members.seen[m.ID].at
+			heard = n.members.polls[m.ID].answeredAt
 		}
 		if out.Planner == "" && (m.ID == n.self.ID || n.members.alive(now, m.ID)) {
 			out.Planner = m.ID
 		}
 		out.Members = append(out.Members, operator.MemberStatus{ID: m.ID, Zone: m.Zone, Address: m.Address, Heard: heard})
 	}
-	reports := n.reports(now)
+	reports := n.upstreamReports(now)
 	for _, u := range s.assignment.Upstreams {
 		row := operator.UpstreamStatus{ID: u.ID, Service: u.Service, Zone: u.Zone, Dispatcher: u.Dispatcher, State: string(u.State)}
 		if r, ok := reports[u.ID]; ok {
@@ -132,9 +133,10 @@
 	return out, nil
 }
 
-// Explain answers from this instance's memory and that of every other member.
-func (n operators) Explain(ctx context.Context, q operator.Query) (operator.Explanation, error) {
-	out := n.explainHere(q)
+// Explain answers a query from the histories of this instance and all other
+// members.
+func (n operatorAPI) Explain(ctx context.Context, q operator.Query) (operator.Explanation, error) {
+	out := n.explainLocal(q)
 	s := n.snapshot()
 	request := peer.ExplainRequest{Query: []byte(operator.QueryValues(q).Encode())}
 	var mu sync.Mutex
@@ -144,7 +146,7 @@
 			continue
 		}
 		wg.Go(func() {
-			x, err := n.explainAt(ctx, m, request)
+			x, err := n.explainRemote(ctx, m, request)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -161,8 +163,8 @@
 	slices.Sort(out.Missing)
 	slices.SortStableFunc(out.Moves, func(a, b operator.Move) int { return b.At.Compare(a.At) })
 	slices.SortStableFunc(out.Refusals, func(a, b operator.Refused) int { return b.At.Compare(a.At) })
-	out.Moves = out.Moves[:min(len(out.Moves), explainLimit)]
-	out.Refusals = out.Refusals[:min(len(out.Refusals), explainLimit)]
+	out.Moves = out.Moves[:min(len(out.Moves), maxExplained)]
+	out.Refusals = out.Refusals[:min(len(out.Refusals), maxExplained)]
 	if out.Owner != nil {
 		for _, m := range out.Moves {
 			if m.Fence == out.Owner.Fence {
@@ -173,7 +175,7 @@
 	return out, nil
 }
 
-func (n *Instance) explainAt(ctx context.Context, m assignment.Member, q peer.ExplainRequest) (operator.Explanation, error) {
+func (n *Instance) explainRemote(ctx context.Context, m assignment.Member, q peer.ExplainRequest) (operator.Explanation, error) {
 	var x operator.Explanation
 	a, err := n.peers.Explain(ctx, m.Address, q)
 	if err != nil {
@@ -182,7 +184,7 @@
 	return x, x.Decode(jx.DecodeBytes(a.Explanation))
 }
 
-// Explain answers another instance's query from this instance's memory.
+// Explain answers a query of another instance from the history of this instance.
 func (n *Instance) Explain(_ context.Context, q peer.ExplainRequest) peer.ExplainAnswer {
 	values, err := url.ParseQuery(string(q.Query))
 	if err != nil {
@@ -193,11 +195,11 @@
 		return peer.ExplainAnswer{}
 	}
 	var e jx.Encoder
-	n.explainHere(query).Encode(&e)
+	n.explainLocal(query).Encode(&e)
 	return peer.ExplainAnswer{Explanation: bytes.Clone(e.Bytes())}
 }
 
-func (n *Instance) explainHere(q operator.Query) operator.Explanation {
+func (n *Instance) explainLocal(q operator.Query) operator.Explanation {
 	out := operator.Explanation{Answered: []fleet.InstanceID{n.self.ID}}
 	switch q := q.(type) {
 	case operator.KeyQuery:
@@ -219,7 +221,7 @@
 	}
 	up, _ := s.upstream(own.Owner)
 	out.Owner = &operator.Ownership{Unit: own.Unit, Owner: own.Owner, Fence: own.Fence, Dispatcher: up.Dispatcher, Previous: own.Previous}
-	for _, m := range n.moves.newest(explainLimit, func(m assignment.Move) bool { return m.Unit == own.Unit }) {
+	for _, m := range n.moves.newest(maxExplained, func(m assignment.Move) bool { return m.Unit == own.Unit }) {
 		out.Moves = append(out.Moves, operator.Move{
 			At: m.at, Unit: m.item.Unit, From: m.item.From, To: m.item.To, Fence: m.item.Fence,
 			Cause: string(m.item.Cause), Detail: m.item.Detail,
@@ -229,7 +231,7 @@
 }
 
 func (n *Instance) explainRefusals(out *operator.Explanation, match func(refusedRequest) bool) {
-	for _, r := range n.refusals.newest(explainLimit, match) {
+	for _, r := range n.refusals.newest(maxExplained, match) {
 		out.Refusals = append(out.Refusals, operator.Refused{
 			At: r.at, Instance: n.self.ID, Request: r.item.id, Account: r.item.account, Entry: r.item.entry,
 			Key: r.item.key, Reason: r.item.refusal.Reason, Detail: r.item.refusal.Detail,
--- a/internal/instance/planner.go
+++ b/internal/instance/planner.go
@@ -15,11 +15,12 @@
 
 const (
 	planInterval = 50 * time.Millisecond
-	// pinMemory is the window in which pins of a service are bounded.
-	pinMemory = 10 * time.Second
+	// pinWindow is the period over which the number of pins of a service is limited.
+	pinWindow = 10 * time.Second
 )
 
-// runPlanner plans whenever this instance is the planner.
+// runPlanner updates the assignment periodically while this instance is the
+// planner.
 func (n *Instance) runPlanner(ctx context.Context) error {
 	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
@@ -29,14 +30,15 @@
 			return nil
 		case <-tick.C:
 		}
-		if err := n.plan(ctx); err != nil {
-			n.log.Debug("plan not written", "error", err)
+		if err := n.updateAssignment(ctx); err != nil {
+			n.log.Debug("assignment not updated", "error", err)
 		}
 	}
 }
 
-// plan writes the next assignment if one is needed.
-func (n *Instance) plan(ctx context.Context) error {
+// updateAssignment computes the next assignment and writes it to the store if it
+// differs from the current one.
+func (n *Instance) updateAssignment(ctx context.Context) error {
 	now := time.Now()
 	in, rev, ok := n.planInput(now)
 	if !ok {
@@ -52,35 +54,35 @@
 	n.metrics.StoreCall("swap")
 	written, err := n.store.Swap(ctx, platform.KeyAssignment, rev, value, string(n.self.ID), now)
 	if err != nil {
-		n.poke()
+		n.refreshNow()
 		return errors.Wrap(err, "write assignment")
 	}
 	now = time.Now()
-	if err := n.learn(now, peer.RecordsAnswer{AssignmentRevision: written, Assignment: value}); err != nil {
+	if err := n.applyRecords(now, peer.RecordsAnswer{AssignmentRevision: written, Assignment: value}); err != nil {
 		return err
 	}
 	n.recordMoves(now, moves)
-	n.poke()
+	n.refreshNow()
 	return nil
 }
 
-// planInput gathers the tables for a plan. It returns false if this instance
-// should not plan now.
+// planInput collects the input of assignment.Plan. It returns false if this
+// instance should not plan now.
 func (n *Instance) planInput(now time.Time) (assignment.Input, fleet.Revision, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.holds(now) || now.Sub(n.storeAnswered) > n.cfg.AuthorityTTL {
+	if !n.hasAuthority(now) || now.Sub(n.storeAnswered) > n.cfg.AuthorityTTL {
 		return assignment.Input{}, 0, false
 	}
-	if !n.members.planner(now, n.started) {
+	if !n.members.shouldPlan(now, n.started) {
 		return assignment.Input{}, 0, false
 	}
 	s := n.snapshot()
 	in := assignment.Input{
-		Current: s.assignment, Catalogue: s.catalogue, Listed: n.listed,
-		Learned: len(s.assignment.Members) == 0 || n.auth.Learned(s.known),
+		Current: s.assignment, Catalogue: s.catalogue, Listed: n.platformList,
+		Learned: len(s.assignment.Members) == 0 || n.authority.Learned(s.known),
 		Lost:    n.members.lost(now), Leaving: n.members.leaving(now), Joining: n.members.joining(now),
-		Reports: n.reports(now), LastPin: n.lastPins(now), LastSwap: maps.Clone(n.swaps),
+		Reports: n.upstreamReports(now), LastPin: n.recentPins(now), LastSwap: maps.Clone(n.lastSwaps),
 	}
 	if n.phase == peer.Draining {
 		in.Leaving = append(in.Leaving, n.self.ID)
@@ -90,9 +92,9 @@
 	return in, s.known.Assignment, true
 }
 
-// reports gathers what the dispatchers last said of their upstreams. The caller
-// holds mu.
-func (n *Instance) reports(now time.Time) map[fleet.UpstreamID]assignment.Report {
+// upstreamReports returns the latest report on each upstream from its dispatcher.
+// The caller holds mu.
+func (n *Instance) upstreamReports(now time.Time) map[fleet.UpstreamID]assignment.Report {
 	s := n.snapshot()
 	out := make(map[fleet.UpstreamID]assignment.Report)
 	own := n.dispatch.Reports(now)
@@ -106,32 +108,33 @@
 		if !n.members.alive(now, u.Dispatcher) {
 			continue
 		}
-		if r, ok := n.members.seen[u.Dispatcher].details.Reports[u.ID]; ok {
+		if r, ok := n.members.polls[u.Dispatcher].detailedAnswer.Reports[u.ID]; ok {
 			out[u.ID] = r
 		}
 	}
 	return out
 }
 
-func (n *Instance) lastPins(now time.Time) map[fleet.ServiceID][]time.Time {
-	for service, times := range n.pins {
-		for len(times) > 0 && now.Sub(times[0]) > pinMemory {
+func (n *Instance) recentPins(now time.Time) map[fleet.ServiceID][]time.Time {
+	for service, times := range n.pinTimes {
+		for len(times) > 0 && now.Sub(times[0]) > pinWindow {
 			times = times[1:]
 		}
-		n.pins[service] = times
+		n.pinTimes[service] = times
 	}
-	return maps.Clone(n.pins)
+	return maps.Clone(n.pinTimes)
 }
 
-// recordMoves keeps what moved and why for explanations, metrics and logs.
+// recordMoves records which units moved and why, for explanations, metrics and
+// logs.
 func (n *Instance) recordMoves(now time.Time, moves []assignment.Move) {
 	n.mu.Lock()
 	for _, m := range moves {
 		if m.Cause == assignment.CausePin {
-			n.pins[m.Unit.Service] = append(n.pins[m.Unit.Service], now)
+			n.pinTimes[m.Unit.Service] = append(n.pinTimes[m.Unit.Service], now)
 		}
 		if m.Cause == assignment.CauseLoad {
-			n.swaps[m.Unit.Service] = now
+			n.lastSwaps[m.Unit.Service] = now
 		}
 	}
 	n.mu.Unlock()
--- a/internal/instance/records.go
+++ b/internal/instance/records.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	keyPrefix     = "parsley/"
-	storeInterval = 250 * time.Millisecond
-	// storeTimeout leaves room for two attempts within the authority TTL.
-	storeTimeout = 400 * time.Millisecond
+	storeKeyPrefix    = "parsley/"
+	storeReadInterval = 250 * time.Millisecond
+	// storeReadTimeout allows two attempts within the authority TTL.
+	storeReadTimeout = 400 * time.Millisecond
 )
 
-// snapshot is what an instance knows of the durable state. It is replaced as a
-// whole and never changed.
+// snapshot is the durable state that an instance knows. It is immutable and
+// replaced as a whole.
 type snapshot struct {
 	known         authority.Known
 	catalogue     *catalogue.Catalogue
@@ -38,7 +38,7 @@
 	return &snapshot{catalogue: c, index: route.NewIndex(c), assignment: &assignment.Assignment{}}
 }
 
-// withCatalogue returns s with a newer catalogue.
+// withCatalogue returns a copy of s with a newer catalogue.
 func (s *snapshot) withCatalogue(rev fleet.Revision, raw []byte) (*snapshot, error) {
 	c, err := catalogue.Parse(platform.KeyCatalogue, raw)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return &next, nil
 }
 
-// withAssignment returns s with a newer assignment.
+// withAssignment returns a copy of s with a newer assignment.
 func (s *snapshot) withAssignment(rev fleet.Revision, raw []byte) (*snapshot, error) {
 	a, err := assignment.Decode(raw)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return &next, nil
 }
 
-// upstream returns the row of an upstream.
+// upstream looks up an upstream of the assignment.
 func (s *snapshot) upstream(id fleet.UpstreamID) (assignment.Upstream, bool) {
 	for _, u := range s.assignment.Upstreams {
 		if u.ID == id {
@@ -70,7 +70,7 @@
 	return assignment.Upstream{}, false
 }
 
-// member returns the row of a member.
+// member looks up a member of the assignment.
 func (s *snapshot) member(id fleet.InstanceID) (assignment.Member, bool) {
 	for _, m := range s.assignment.Members {
 		if m.ID == id {
@@ -80,11 +80,11 @@
 	return assignment.Member{}, false
 }
 
-// learn applies records that are newer than what is known and ignores older
-// ones, so that knowledge never goes back.
-func (n *Instance) learn(now time.Time, m peer.RecordsAnswer) error {
-	n.learning.Lock()
-	defer n.learning.Unlock()
+// applyRecords applies the records that are newer than the snapshot and ignores
+// older ones, so that the known revisions never decrease.
+func (n *Instance) applyRecords(now time.Time, m peer.RecordsAnswer) error {
+	n.snapshotUpdate.Lock()
+	defer n.snapshotUpdate.Unlock()
 	s := n.snapshot()
 	next := s
 	var err error
@@ -99,38 +99,38 @@
 		}
 	}
 	if next != s {
-		n.apply(now, s, next)
+		n.replaceSnapshot(now, s, next)
 	}
 	return nil
 }
 
-// apply makes next the known state and tells every table.
-func (n *Instance) apply(now time.Time, old, next *snapshot) {
+// replaceSnapshot makes next the current snapshot and updates all tables.
+func (n *Instance) replaceSnapshot(now time.Time, old, next *snapshot) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.current.Store(next)
-	n.holds(now)
+	n.hasAuthority(now)
 	if next.catalogue != old.catalogue {
-		n.applyLimits(now, next)
+		n.applyLimitChanges(now, next)
 	}
 	if next.assignment != old.assignment {
 		n.members.update(now, next.assignment.Members)
-		n.homes.learn(now, next)
-		n.until = time.Time{}
-		n.auth.SetMembers(runs(next.assignment.Members), runs(next.assignment.PreviousMembers))
-		n.confirmGone()
-	}
-	n.auth.Learn(now, next.known)
-	n.revisions.learn(now, next.known)
-	n.do(n.dispatch.Assign(now, n.duties(now, next)))
-	n.retirePools(next)
-	n.noteOutage(now, next)
-	close(n.changed)
-	n.changed = make(chan struct{})
+		n.homes.addAssignment(now, next)
+		n.cachedAuthorityEnd = time.Time{}
+		n.authority.SetMembers(runIDs(next.assignment.Members), runIDs(next.assignment.PreviousMembers))
+		n.confirmEnded()
+	}
+	n.authority.Learn(now, next.known)
+	n.revisions.add(now, next.known)
+	n.execute(n.dispatch.Assign(now, n.duties(now, next)))
+	n.closeUnusedConnections(next)
+	n.updateOutOfService(now, next)
+	close(n.snapshotChanged)
+	n.snapshotChanged = make(chan struct{})
 	n.log.Debug("learned", "catalogue", next.known.Catalogue, "assignment", next.known.Assignment)
 }
 
-func ids(members []assignment.Member) []fleet.InstanceID {
+func memberIDs(members []assignment.Member) []fleet.InstanceID {
 	out := make([]fleet.InstanceID, len(members))
 	for i, m := range members {
 		out[i] = m.ID
@@ -138,8 +138,9 @@
 	return out
 }
 
-// runs names the processes behind members, as the authority table knows them.
-func runs(members []assignment.Member) []fleet.InstanceID {
+// runIDs returns the ids under which the authority table knows the members. They
+// include the boot id.
+func runIDs(members []assignment.Member) []fleet.InstanceID {
 	out := make([]fleet.InstanceID, len(members))
 	for i, m := range members {
 		out[i] = m.Run()
@@ -147,30 +148,30 @@
 	return out
 }
 
-// readStore reads the records that are newer than the last read.
+// readStore reads and applies the records written since the last read.
 func (n *Instance) readStore(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 	defer cancel()
 	sent := time.Now()
 	n.metrics.StoreCall("changes")
-	changes, err := n.store.Changes(ctx, keyPrefix, n.storeRead, 0)
+	changes, err := n.store.Changes(ctx, storeKeyPrefix, n.storeRevision, 0)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	if err := n.learn(now, recordsOf(changes)); err != nil {
+	if err := n.applyRecords(now, recordsFromChanges(changes)); err != nil {
 		return err
 	}
-	n.storeRead = changes.Revision
+	n.storeRevision = changes.Revision
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.holds(now)
+	n.hasAuthority(now)
 	n.storeAnswered = now
-	n.auth.StoreAnswered(sent, n.auth.Known())
+	n.authority.StoreAnswered(sent, n.authority.Known())
 	return nil
 }
 
-func recordsOf(changes platform.Changes) peer.RecordsAnswer {
+func recordsFromChanges(changes platform.Changes) peer.RecordsAnswer {
 	var m peer.RecordsAnswer
 	for _, r := range changes.Records {
 		switch r.Key {
@@ -183,9 +184,9 @@
 	return m
 }
 
-// runStore reads the store at a fixed interval, and at once when poked.
+// runStore reads the store periodically, and immediately when triggered.
 func (n *Instance) runStore(ctx context.Context) error {
-	tick := time.NewTicker(storeInterval)
+	tick := time.NewTicker(storeReadInterval)
 	defer tick.Stop()
 	healthy := true
 	for {
@@ -195,36 +196,37 @@
 		}
 		if ok := err == nil; ok != healthy {
 			healthy = ok
-			n.event(time.Now(), "store", storeDetail(err))
+			n.recordEvent(time.Now(), "store", storeEventDetail(err))
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-n.pokeStore:
+		case <-n.triggerStoreRead:
 		}
 	}
 }
 
-func storeDetail(err error) string {
+func storeEventDetail(err error) string {
 	if err == nil {
-		return "the store answers again"
+		return "the store can be read again"
 	}
-	return "the store does not answer: " + err.Error()
+	return "the store cannot be read: " + err.Error()
 }
 
-// fetch takes newer records from a peer.
-func (n *Instance) fetch(ctx context.Context, addr string) {
-	if !n.fetching.TryLock() {
+// fetchRecords gets newer records from a peer. It does nothing if another fetch is
+// in progress.
+func (n *Instance) fetchRecords(ctx context.Context, addr string) {
+	if !n.fetchLock.TryLock() {
 		return
 	}
-	defer n.fetching.Unlock()
+	defer n.fetchLock.Unlock()
 	m, err := n.peers.Records(ctx, addr, peer.RecordsRequest{Known: n.snapshot().known})
 	if err != nil {
-		n.log.Debug("records not fetched", "peer", addr, "error", err)
+		n.log.Debug("records could not be fetched from peer", "peer", addr, "error", err)
 		return
 	}
-	if err := n.learn(time.Now(), m); err != nil {
-		n.log.Error("records refused", "peer", addr, "error", err)
+	if err := n.applyRecords(time.Now(), m); err != nil {
+		n.log.Error("records from peer rejected", "peer", addr, "error", err)
 	}
 }
--- a/internal/instance/serve_test.go
+++ b/internal/instance/serve_test.go
@@ -14,8 +14,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Guards against a request that waits for its owner and is sent after its caller
-// key was withdrawn.
+// TestWithdrawnKeyWhileWaiting checks that a request that waits for an owner is not
+// sent after its caller key was withdrawn.
 func TestWithdrawnKeyWhileWaiting(t *testing.T) {
 	n, err := New(settings.Serve{Instance: "i1", AuthorityTTL: time.Second}, hclog.NewNullLogger())
 	if err != nil {
@@ -47,11 +47,11 @@
 			s := emptySnapshot()
 			s.known, s.catalogue, s.index = authority.Known{Catalogue: tt.rev}, tt.c, route.NewIndex(tt.c)
 			n.current.Store(s)
-			j := &job{decided: 1, recheck: func(s *snapshot) *fleet.Refusal {
+			j := &job{decidedRevision: 1, recheck: func(s *snapshot) *fleet.Refusal {
 				_, refusal := route.Decide(time.Now(), s.index, in)
 				return refusal
 			}}
-			_, refusal := n.routeOnce(t.Context(), j, 0)
+			_, refusal := n.routeAttempt(t.Context(), j, 0)
 			if diff := cmp.Diff(tt.want, refusal.Reason); diff != "" {
 				t.Error(diff)
 			}
