--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -13,13 +13,13 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// ConflictError reports a write that lost: the key was not at the expected
+// ConflictError reports a write that failed because the key was not at the expected
 // revision. The write has not taken effect and never will.
 type ConflictError struct {
 	Key      string
 	Expected fleet.Revision
 	Current  fleet.Revision // 0 if the key does not exist
-	By       string         // who wrote Current; empty if it could not be read
+	By       string         // writer of Current; empty if it could not be read
 }
 
 func (e *ConflictError) Error() string {
@@ -30,11 +30,11 @@
 	return s
 }
 
-// UnknownError reports a write that may have taken effect, or may still.
+// UnknownError reports a write that may have taken effect or may still do so.
 type UnknownError struct {
 	Key     string
 	WriteID string
-	Current fleet.Revision // last revision read back; 0 if none was
+	Current fleet.Revision // last revision read back; 0 if none was read
 	Err     error
 }
 
@@ -42,19 +42,20 @@
 	return fmt.Sprintf("write %s of %s: outcome unknown: %v", e.WriteID, e.Key, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the last attempt or read.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// ThrottledError reports a call over the metered rate. It had no effect.
+// ThrottledError reports a call that exceeded the metered rate of the store or the
+// list. It had no effect.
 type ThrottledError struct {
 	Addr       string
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0 if the server named no time
 }
 
 func (e *ThrottledError) Error() string { return e.Addr + ": over the metered rate" }
 
-// RejectedError reports a call that the store refuses whenever it is repeated,
-// such as a value over the size limit (status 413). It had no effect.
+// RejectedError reports a call that would be rejected again if repeated, such as a
+// write of a value over the size limit (status 413). It had no effect.
 type RejectedError struct {
 	Addr   string
 	Status int
@@ -65,7 +66,7 @@
 	return fmt.Sprintf("%s: rejected with status %d: %s", e.Addr, e.Status, e.Detail)
 }
 
-// UnavailableError reports a read without an answer, or a write that was never
+// UnavailableError reports a read that was not answered, or a write that was not
 // sent.
 type UnavailableError struct {
 	Addr string
@@ -74,25 +75,25 @@
 
 func (e *UnavailableError) Error() string { return e.Addr + " unavailable: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the call.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// statusError is a failure status that says nothing about the effect.
+// statusError is an error status that does not tell whether the call had an effect.
 type statusError struct{ status int }
 
 func (e *statusError) Error() string { return "answered with status " + strconv.Itoa(e.status) }
 
-// conflictStatus is the answer 409.
-type conflictStatus struct{ current fleet.Revision }
+// conflictResponse is a response with status 409 to a write.
+type conflictResponse struct{ current fleet.Revision }
 
-func (e *conflictStatus) Error() string {
+func (e *conflictResponse) Error() string {
 	return "conflict with revision " + strconv.FormatUint(uint64(e.current), 10)
 }
 
-// call sends one request with its own deadline. A connection without an answer
-// by then is closed, as are the idle ones, which may be silent for the same
-// cause. The error is a *ThrottledError, *RejectedError, *conflictStatus,
-// *statusError, *http1.NotSentError or *http1.LostError.
+// call sends one request and waits for the response for at most timeout. If it gets
+// none, it closes the connection and the idle connections of the pool, which may
+// not respond for the same reason. The error is a *ThrottledError, *RejectedError,
+// *conflictResponse, *statusError, *http1.NotSentError or *http1.LostError.
 func call(ctx context.Context, pool *http1.Pool, timeout time.Duration, req *http1.Request) (*http1.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -105,13 +106,13 @@
 	case res.Status == http.StatusOK:
 		return res, nil
 	case res.Status == http.StatusConflict:
-		current, err := decodeStored(res.Body)
+		current, err := decodeRevisionAnswer(res.Body)
 		if err != nil {
 			return nil, &http1.LostError{Addr: pool.Addr(), Err: errors.Wrap(err, "decode the conflict")}
 		}
-		return nil, &conflictStatus{current: current}
+		return nil, &conflictResponse{current: current}
 	case res.Status == http.StatusTooManyRequests:
-		s, _ := strconv.Atoi(res.Header.Get("Retry-After")) // absent or a date: no advice
+		s, _ := strconv.Atoi(res.Header.Get("Retry-After")) // 0 if the header is absent or a date
 		return nil, &ThrottledError{Addr: pool.Addr(), RetryAfter: time.Duration(s) * time.Second}
 	case res.Status >= 400 && res.Status < 500:
 		return nil, &RejectedError{Addr: pool.Addr(), Status: res.Status, Detail: string(res.Body)}
@@ -120,8 +121,9 @@
 	}
 }
 
-// asUnavailable turns an error of call into the error of a read.
-func asUnavailable(err error) error {
+// asUnavailableError converts a *http1.NotSentError or *http1.LostError into an
+// *UnavailableError and returns other errors unchanged.
+func asUnavailableError(err error) error {
 	var (
 		notSent *http1.NotSentError
 		lost    *http1.LostError
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -13,18 +13,18 @@
 )
 
 // Listed is an entry of the platform's instance list. The list lags behind the
-// processes that it describes.
+// state of the processes.
 type Listed struct {
 	Name    string
 	Kind    Kind
-	Service fleet.ServiceID // of an upstream; empty for an instance
+	Service fleet.ServiceID // service of an upstream; empty for an instance
 	Address string
 	Zone    fleet.ZoneID
 	State   State
 	Boot    fleet.BootID
 }
 
-// Kind says what a listed process is.
+// Kind is the kind of a listed process.
 type Kind string
 
 // Kinds of listed processes.
@@ -33,7 +33,7 @@
 	KindInstance Kind = "instance"
 )
 
-// State says whether a listed process stays.
+// State tells whether a listed process is about to stop.
 type State string
 
 // States of listed processes.
@@ -42,11 +42,11 @@
 	StateLeaving State = "leaving"
 )
 
-// listTimeout is longer than the store's read timeout, since the list lags by
-// seconds anyway.
+// listTimeout is longer than the read timeout of the store, since the list lags by
+// seconds in any case.
 const listTimeout = time.Second
 
-// List reads the platform's instance list.
+// List is a client of the platform's instance list.
 type List struct {
 	pool *http1.Pool
 }
@@ -56,7 +56,7 @@
 	return &List{pool: client.NewPool(addr, http1.PoolConfig{MaxConns: 4, DialTimeout: dialTimeout})}
 }
 
-// Close closes the connections.
+// Close closes the connections to the list.
 func (l *List) Close() { l.pool.Close() }
 
 // Fetch returns the list. The error is a *ThrottledError, a *RejectedError or an
@@ -64,7 +64,7 @@
 func (l *List) Fetch(ctx context.Context) ([]Listed, error) {
 	res, err := call(ctx, l.pool, listTimeout, &http1.Request{Method: http.MethodGet, Target: "/v1/instances"})
 	if err != nil {
-		return nil, asUnavailable(err)
+		return nil, asUnavailableError(err)
 	}
 	list, err := DecodeList(res.Body)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return list, nil
 }
 
-// EncodeList returns the list as the platform sends it.
+// EncodeList encodes the list in the platform's format.
 func EncodeList(list []Listed) []byte {
 	var e jx.Encoder
 	e.Arr(func(e *jx.Encoder) {
@@ -84,7 +84,7 @@
 	return e.Bytes()
 }
 
-// EncodeListed writes one entry of the list.
+// EncodeListed encodes one entry of the list.
 func EncodeListed(e *jx.Encoder, l Listed) {
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("name", func(e *jx.Encoder) { e.Str(l.Name) })
@@ -97,7 +97,7 @@
 	})
 }
 
-// DecodeList decodes a list as the platform sends it.
+// DecodeList decodes a list in the platform's format.
 func DecodeList(data []byte) (list []Listed, err error) {
 	err = jx.DecodeBytes(data).Arr(func(d *jx.Decoder) error {
 		l, err := DecodeListed(d)
@@ -110,7 +110,8 @@
 	return list, err
 }
 
-// DecodeListed decodes one entry and checks its name, kind and state.
+// DecodeListed decodes one entry of the list and validates its name, kind and
+// state.
 func DecodeListed(d *jx.Decoder) (l Listed, err error) {
 	err = d.Obj(func(d *jx.Decoder, field string) error {
 		target, ok := map[string]*string{
@@ -122,7 +123,7 @@
 		}
 		s, err := d.Str()
 		*target = s
-		return inField(err, field)
+		return wrapField(err, field)
 	})
 	if err != nil {
 		return l, err
--- a/internal/platform/record.go
+++ b/internal/platform/record.go
@@ -9,7 +9,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Record is a value of the store together with who wrote it.
+// Record is a value in the store with the data of the write that stored it.
 type Record struct {
 	Key      string
 	Value    []byte
@@ -17,27 +17,28 @@
 	WriteID  string
 	By       string
 	At       time.Time
-	Base     []Write // the writes that this one builds on, latest first; at most maxBase
-	Deleted  bool    // the key is gone; only Key and Revision are set
+	Base     []Write // earlier writes that this write builds on, latest first; at most maxHistory
+	Deleted  bool    // the key was deleted; only Key and Revision are set
 }
 
-// Write identifies an earlier write of a record.
+// Write identifies an earlier write of a key.
 type Write struct {
 	Revision fleet.Revision
-	ID       string // empty if the writer did not know it
+	ID       string // empty if unknown to the later writer
 	By       string
 }
 
-// maxBase bounds the history in an envelope. A writer whose answer was lost
-// recognises its write while fewer than maxBase further writes have replaced it.
-const maxBase = 8
+// maxHistory is the maximum number of earlier writes in an envelope. A writer
+// whose answer was lost finds its write in the history if fewer than maxHistory
+// later writes have replaced it.
+const maxHistory = 8
 
 // encodeEnvelope returns the stored form of the record:
 //
 //	{"write-id":"","by":"","at":"RFC 3339","base":[{"revision":1,"write-id":"","by":""}],"value":{}}
 //
-// A value that is a JSON object is embedded as it is. Any other value is a
-// base64 string.
+// A value that is a JSON object is embedded unchanged. Any other value is stored
+// as a base64 string.
 func encodeEnvelope(r *Record) []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
@@ -52,25 +53,26 @@
 			})
 		})
 		e.Field("value", func(e *jx.Encoder) {
-			if embeddable(r.Value) {
+			if canEmbed(r.Value) {
 				e.Raw(r.Value)
 			} else {
-				e.Base64(nonNil(r.Value))
+				e.Base64(nonNilBytes(r.Value))
 			}
 		})
 	})
 	return e.Bytes()
 }
 
-// embeddable reports whether value survives as a nested object byte by byte;
-// surrounding white space would not.
-func embeddable(value []byte) bool {
+// canEmbed reports whether value can be embedded as a JSON object without changing
+// a byte. Surrounding white space would be lost.
+func canEmbed(value []byte) bool {
 	n := len(value)
 	return n >= 2 && value[0] == '{' && value[n-1] == '}' && jx.Valid(value)
 }
 
-// nonNil makes jx write an empty value as a string and not as null.
-func nonNil(b []byte) []byte {
+// nonNilBytes replaces nil, which jx would encode as null and not as an empty
+// string.
+func nonNilBytes(b []byte) []byte {
 	if b == nil {
 		return []byte{}
 	}
@@ -85,7 +87,7 @@
 	})
 }
 
-// decodeEnvelope fills the record from its stored form.
+// decodeEnvelope sets the fields of the record from its stored form.
 func decodeEnvelope(data []byte, r *Record) error {
 	return jx.DecodeBytes(data).Obj(func(d *jx.Decoder, field string) (err error) {
 		switch field {
@@ -106,7 +108,7 @@
 		default:
 			err = d.Skip()
 		}
-		return inField(err, field)
+		return wrapField(err, field)
 	})
 }
 
@@ -130,7 +132,7 @@
 		default:
 			err = d.Skip()
 		}
-		return inField(err, field)
+		return wrapField(err, field)
 	})
 	return w, err
 }
@@ -139,7 +141,7 @@
 	switch t := d.Next(); t {
 	case jx.Object:
 		raw, err := d.Raw()
-		return append([]byte(nil), raw...), err // raw aliases the decoder's input
+		return append([]byte(nil), raw...), err // raw aliases the input of the decoder
 	case jx.String:
 		return d.Base64()
 	default:
@@ -152,14 +154,14 @@
 	return fleet.Revision(n), err
 }
 
-// decodeChanges decodes the answer of GET /v1/changes.
+// decodeChanges decodes the response to GET /v1/changes.
 func decodeChanges(data []byte) (c Changes, err error) {
-	complete := false
+	hasRevision := false
 	err = jx.DecodeBytes(data).Obj(func(d *jx.Decoder, field string) (err error) {
 		switch field {
 		case "revision":
 			c.Revision, err = decodeRevision(d)
-			complete = true
+			hasRevision = true
 		case "entries":
 			err = d.Arr(func(d *jx.Decoder) error {
 				r, err := decodeEntry(d)
@@ -169,15 +171,16 @@
 		default:
 			err = d.Skip()
 		}
-		return inField(err, field)
+		return wrapField(err, field)
 	})
-	if err == nil && !complete {
+	if err == nil && !hasRevision {
 		err = errNoRevision
 	}
 	return c, err
 }
 
-// errNoRevision keeps an answer without a revision apart from revision 0.
+// errNoRevision distinguishes a response without a revision from one with revision
+// 0.
 var errNoRevision = errors.New("field revision is missing")
 
 func decodeEntry(d *jx.Decoder) (r Record, err error) {
@@ -195,7 +198,7 @@
 		default:
 			err = d.Skip()
 		}
-		return inField(err, field)
+		return wrapField(err, field)
 	})
 	if err != nil || r.Deleted {
 		return r, err
@@ -206,25 +209,27 @@
 	return r, nil
 }
 
-// decodeStored decodes {"revision":n}, the answer to a write and to a conflict.
-func decodeStored(data []byte) (rev fleet.Revision, err error) {
-	complete := false
+// decodeRevisionAnswer decodes {"revision":n}, the body of the response to a write
+// or of a conflict.
+func decodeRevisionAnswer(data []byte) (rev fleet.Revision, err error) {
+	hasRevision := false
 	err = jx.DecodeBytes(data).Obj(func(d *jx.Decoder, field string) (err error) {
 		if field != "revision" {
 			return d.Skip()
 		}
-		complete = true
+		hasRevision = true
 		rev, err = decodeRevision(d)
-		return inField(err, field)
+		return wrapField(err, field)
 	})
-	if err == nil && !complete {
+	if err == nil && !hasRevision {
 		err = errNoRevision
 	}
 	return rev, err
 }
 
-// inField names the field of an error. The library's Wrap makes an error of nil.
-func inField(err error, field string) error {
+// wrapField adds the name of the field to an error and returns nil for nil. The
+// Wrapf of the errors library returns an error even for nil.
+func wrapField(err error, field string) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/platform/record_test.go
+++ b/internal/platform/record_test.go
@@ -10,7 +10,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Guards against a value, a name or a history that the envelope changes.
+// TestEnvelopeRoundTrip checks that encoding and decoding an envelope preserves the
+// value, the names and the history.
 func TestEnvelopeRoundTrip(t *testing.T) {
 	value := rapid.OneOf(
 		rapid.SliceOf(rapid.Byte()),
@@ -22,9 +23,9 @@
 			WriteID: rapid.String().Draw(t, "write-id"),
 			By:      rapid.String().Draw(t, "by"),
 			At:      time.Unix(rapid.Int64Range(0, 1<<33).Draw(t, "s"), rapid.Int64Range(0, 1e9-1).Draw(t, "ns")).UTC(),
-			Value:   nonNil(value.Draw(t, "value")),
+			Value:   nonNilBytes(value.Draw(t, "value")),
 		}
-		for range rapid.IntRange(0, maxBase).Draw(t, "base") {
+		for range rapid.IntRange(0, maxHistory).Draw(t, "base") {
 			want.Base = append(want.Base, Write{
 				Revision: fleet.Revision(rapid.Uint64().Draw(t, "revision")),
 				ID:       rapid.String().Draw(t, "id"),
@@ -35,23 +36,23 @@
 		if err := decodeEnvelope(encodeEnvelope(&want), &got); err != nil {
 			t.Fatal(err)
 		}
-		got.Value = nonNil(got.Value)
+		got.Value = nonNilBytes(got.Value)
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
 	})
 }
 
-// Guards against a damaged answer that is taken for an empty store, or that ends
-// the process.
+// TestDamagedAnswers guards against a truncated or random answer that decodes as an
+// empty store or ends the process.
 func TestDamagedAnswers(t *testing.T) {
-	whole := `{"revision":2,"entries":[{"key":"k","value":"eyJ2YWx1ZSI6e319","revision":2}]}`
-	if c, err := decodeChanges([]byte(whole)); err != nil || len(c.Records) != 1 {
+	complete := `{"revision":2,"entries":[{"key":"k","value":"eyJ2YWx1ZSI6e319","revision":2}]}`
+	if c, err := decodeChanges([]byte(complete)); err != nil || len(c.Records) != 1 {
 		t.Fatalf("decodeChanges = %+v, %v", c, err)
 	}
-	for n := range len(whole) {
-		if c, err := decodeChanges([]byte(whole[:n])); err == nil {
-			t.Errorf("%q decoded as %+v", whole[:n], c)
+	for n := range len(complete) {
+		if c, err := decodeChanges([]byte(complete[:n])); err == nil {
+			t.Errorf("%q decoded as %+v", complete[:n], c)
 		}
 	}
 	if c, err := decodeChanges([]byte("{}")); err == nil {
@@ -61,7 +62,7 @@
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "data")
 		_, _ = decodeChanges(data)
 		_, _ = DecodeList(data)
-		_, _ = decodeStored(data)
+		_, _ = decodeRevisionAnswer(data)
 		_ = decodeEnvelope(data, &Record{})
 	})
 }
--- a/internal/platform/store_test.go
+++ b/internal/platform/store_test.go
@@ -56,28 +56,29 @@
 
 func swap(t *testing.T, s *platform.Store, expect fleet.Revision, value, by string) fleet.Revision {
 	t.Helper()
-	rev, err := s.Swap(bounded(t), key, expect, []byte(value), by, time.Now())
+	rev, err := s.Swap(testContext(t), key, expect, []byte(value), by, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return rev
 }
 
-// bounded ends a call that would hang.
-func bounded(t *testing.T) context.Context {
+// testContext returns a context that ends a call that would otherwise hang.
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Guards against values, writers or revisions that change on their way.
+// TestSwapAndChanges checks that Changes returns the values, writers and revisions
+// that Swap stored.
 func TestSwapAndChanges(t *testing.T) {
 	s := newStore(t, startStore(t, store.Config{}).Addr())
 	at := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
 	want := platform.Changes{Revision: 3}
 	for i, value := range []string{`{"a": [1]}`, "yaml: text\n", ""} {
 		k := key + string(rune('a'+i))
-		rev, err := s.Swap(bounded(t), k, 0, []byte(value), "op", at)
+		rev, err := s.Swap(testContext(t), k, 0, []byte(value), "op", at)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +86,7 @@
 			Key: k, Value: []byte(value), Revision: rev, By: "op", At: at, Base: []platform.Write{{}},
 		})
 	}
-	got, err := s.Changes(bounded(t), key, 0, 0)
+	got, err := s.Changes(testContext(t), key, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,12 +100,13 @@
 	}
 }
 
-// Guards against a loser that is not told who won.
+// TestConflictNamesWinner checks that a ConflictError names the writer of the
+// current revision.
 func TestConflictNamesWinner(t *testing.T) {
 	s := newStore(t, startStore(t, store.Config{}).Addr())
 	base := swap(t, s, 0, "{}", "alice")
 	won := swap(t, s, base, "{}", "bob")
-	_, err := s.Swap(bounded(t), key, base, []byte("{}"), "carol", time.Now())
+	_, err := s.Swap(testContext(t), key, base, []byte("{}"), "carol", time.Now())
 	var conflict *platform.ConflictError
 	if !errors.As(err, &conflict) {
 		t.Fatalf("Swap = %v, want a ConflictError", err)
@@ -114,8 +116,8 @@
 	}
 }
 
-// Guards against a write that took effect and is reported as failed because its
-// answer was lost.
+// TestLostAnswerIsReadBack guards against a write that took effect and is reported
+// as failed because its answer was lost.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	server := startStore(t, store.Config{})
 	s := newStore(t, server.Addr())
@@ -124,14 +126,14 @@
 	if diff := cmp.Diff(base+1, swap(t, s, base, `{"n":1}`, "alice")); diff != "" {
 		t.Error(diff)
 	}
-	got, err := s.Changes(bounded(t), key, base, 0)
+	got, err := s.Changes(testContext(t), key, base, 0)
 	if err != nil || len(got.Records) != 1 || string(got.Records[0].Value) != `{"n":1}` {
 		t.Errorf("Changes = %+v, %v", got, err)
 	}
 }
 
-// Guards against a write that is reported as lost, or repeated, because another
-// writer built on it before the read-back.
+// TestLostAnswerFoundInHistory guards against a write that is reported as failed,
+// or repeated, because another writer replaced it before the read-back.
 func TestLostAnswerFoundInHistory(t *testing.T) {
 	server := startStore(t, store.Config{})
 	net, addr := startRelay(t, server.Addr())
@@ -144,10 +146,10 @@
 	}
 	done := make(chan outcome, 1)
 	go func() {
-		rev, err := s.Swap(bounded(t), key, base, []byte("{}"), "alice", time.Now())
+		rev, err := s.Swap(testContext(t), key, base, []byte("{}"), "alice", time.Now())
 		done <- outcome{rev, err}
 	}()
-	c, err := other.Changes(bounded(t), key, base, 5*time.Second)
+	c, err := other.Changes(testContext(t), key, base, 5*time.Second)
 	if err != nil || len(c.Records) != 1 {
 		t.Fatalf("Changes = %+v, %v", c, err)
 	}
@@ -158,15 +160,15 @@
 	}
 }
 
-// Guards against a delayed write that takes effect a second time, or after
-// another outcome was reported.
+// TestDelayedWriteTakesEffectOnce guards against a delayed write that takes effect
+// twice, or after another outcome was reported.
 func TestDelayedWriteTakesEffectOnce(t *testing.T) {
 	server := startStore(t, store.Config{})
 	net, addr := startRelay(t, server.Addr())
 	s := newStore(t, addr)
 	base := swap(t, s, 0, "{}", "alice")
 	applyFault(t, net, relay.Fault{Mode: relay.ModeHold, Direction: relay.ToTarget})
-	ctx, cancel := context.WithTimeout(t.Context(), time.Second) // longer than the first attempt
+	ctx, cancel := context.WithTimeout(t.Context(), time.Second) // longer than the timeout of the first attempt
 	defer cancel()
 	_, err := s.Swap(ctx, key, base, []byte("{}"), "alice", time.Now())
 	var unknown *platform.UnknownError
@@ -174,13 +176,13 @@
 		t.Fatalf("Swap while held = %v, want an UnknownError", err)
 	}
 	applyFault(t, net, relay.Fault{Mode: relay.ModeOK})
-	c, err := newStore(t, server.Addr()).Changes(bounded(t), key, base, 5*time.Second)
+	c, err := newStore(t, server.Addr()).Changes(testContext(t), key, base, 5*time.Second)
 	if err != nil || len(c.Records) != 1 || c.Records[0].WriteID != unknown.WriteID || c.Revision != base+1 {
 		t.Errorf("Changes = %+v, %v, want write %s at %d", c, err, unknown.WriteID, base+1)
 	}
 }
 
-// Guards against a silent connection that is used again.
+// TestSilentConnection guards against reusing a connection that does not respond.
 func TestSilentConnection(t *testing.T) {
 	server := startStore(t, store.Config{})
 	net, addr := startRelay(t, server.Addr())
@@ -188,12 +190,12 @@
 	base := swap(t, s, 0, "{}", "alice")
 	applyFault(t, net, relay.Fault{Mode: relay.ModeSilent})
 	start := time.Now()
-	_, err := s.Changes(bounded(t), key, 0, 0)
+	_, err := s.Changes(testContext(t), key, 0, 0)
 	var unavailable *platform.UnavailableError
 	if !errors.As(err, &unavailable) || time.Since(start) > time.Second {
 		t.Errorf("Changes on the silent connection = %v after %v", err, time.Since(start))
 	}
-	if _, err := s.Changes(bounded(t), key, 0, 0); err != nil {
+	if _, err := s.Changes(testContext(t), key, 0, 0); err != nil {
 		t.Errorf("Changes on a new connection: %v", err)
 	}
 	applyFault(t, net, relay.Fault{Mode: relay.ModeSilent})
@@ -202,15 +204,16 @@
 	}
 }
 
-// Guards against an outage that hangs a read, is taken for a failed write, or
-// outlasts the store's return.
+// TestOutage guards against reads that hang during an outage, writes that are
+// reported as failed for certain, and an outage that lasts longer for the client
+// than for the store.
 func TestOutage(t *testing.T) {
 	server := startStore(t, store.Config{})
 	s := newStore(t, server.Addr())
 	base := swap(t, s, 0, "{}", "alice")
 	setFault(t, server, store.Fault{Mode: store.ModeDown})
 	var unavailable *platform.UnavailableError
-	if _, err := s.Changes(bounded(t), key, 0, 0); !errors.As(err, &unavailable) {
+	if _, err := s.Changes(testContext(t), key, 0, 0); !errors.As(err, &unavailable) {
 		t.Errorf("Changes = %v, want an UnavailableError", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
@@ -224,7 +227,7 @@
 		t.Errorf("revision = %d, want %d", rev, base+1)
 	}
 	server.Close()
-	until(t, func() bool { // connections are refused, so nothing is sent
+	waitUntil(t, func() bool { // connections are refused, so nothing is sent
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		_, err := newStore(t, server.Addr()).Swap(ctx, key, base+1, []byte("{}"), "alice", time.Now())
@@ -232,75 +235,76 @@
 	})
 }
 
-// Guards against a slow store that never answers in time.
+// TestSlowStore guards against timeouts that are too short for a slow store.
 func TestSlowStore(t *testing.T) {
 	server := startStore(t, store.Config{})
 	s := newStore(t, server.Addr())
 	setFault(t, server, store.Fault{Mode: store.ModeSlow, Delay: 700 * time.Millisecond})
 	rev := swap(t, s, 0, "{}", "alice")
-	if c, err := s.Changes(bounded(t), key, 0, 0); err != nil || c.Revision != rev {
+	if c, err := s.Changes(testContext(t), key, 0, 0); err != nil || c.Revision != rev {
 		t.Errorf("Changes = %+v, %v, want revision %d", c, err, rev)
 	}
 }
 
-// Guards against throttling that is taken for an outage, and against an oversized
-// value that is sent again and again.
+// TestThrottledAndRejected guards against throttling that is reported as an outage,
+// and against an oversized value that is sent repeatedly.
 func TestThrottledAndRejected(t *testing.T) {
 	s := newStore(t, startStore(t, store.Config{WritesPerSecond: 1, ReadsPerSecond: 1}).Addr())
 	rev := swap(t, s, 0, "{}", "alice")
-	_, err := s.Swap(bounded(t), key, rev, nil, "alice", time.Now())
+	_, err := s.Swap(testContext(t), key, rev, nil, "alice", time.Now())
 	var throttled *platform.ThrottledError
 	if !errors.As(err, &throttled) {
 		t.Errorf("Swap = %v, want a ThrottledError", err)
 	}
 	s = newStore(t, startStore(t, store.Config{}).Addr())
-	_, err = s.Swap(bounded(t), key, 0, make([]byte, 1<<20), "alice", time.Now())
+	_, err = s.Swap(testContext(t), key, 0, make([]byte, 1<<20), "alice", time.Now())
 	var rejected *platform.RejectedError
 	if !errors.As(err, &rejected) || rejected.Status != 413 {
 		t.Errorf("Swap = %v, want a RejectedError with 413", err)
 	}
 }
 
-// Guards against updates that are lost or doubled when writers compete while
-// answers are lost.
+// TestCompetingWriters guards against updates that are lost or applied twice when
+// concurrent writers lose answers.
 func TestCompetingWriters(t *testing.T) {
 	server := startStore(t, store.Config{WritesPerSecond: 1 << 20, ReadsPerSecond: 1 << 20})
-	const writers, each = 4, 30
+	const writers, perWriter = 4, 30
 	var wg sync.WaitGroup
 	var unknown atomic.Int64
 	for range writers {
 		s := newStore(t, server.Addr())
 		wg.Go(func() {
-			for range each {
+			for range perWriter {
 				if !increment(t, s) {
 					unknown.Add(1)
 				}
 			}
 		})
 	}
-	pace := time.NewTicker(2 * time.Millisecond) // no check depends on it
-	defer pace.Stop()
+	ticker := time.NewTicker(2 * time.Millisecond) // paces the faults; no check depends on it
+	defer ticker.Stop()
 	for range 20 {
 		setFault(t, server, store.Fault{Mode: store.ModeLoseAnswers})
-		<-pace.C
+		<-ticker.C
 		setFault(t, server, store.Fault{Mode: store.ModeOK})
-		<-pace.C
+		<-ticker.C
 	}
 	wg.Wait()
-	c, err := newStore(t, server.Addr()).Changes(bounded(t), key, 0, 0)
+	c, err := newStore(t, server.Addr()).Changes(testContext(t), key, 0, 0)
 	if err != nil || len(c.Records) != 1 {
 		t.Fatalf("Changes = %+v, %v", c, err)
 	}
 	n, err := strconv.ParseInt(string(c.Records[0].Value), 10, 64)
-	if err != nil || n < writers*each-unknown.Load() || n > writers*each || n != int64(c.Revision) {
-		t.Errorf("count = %d, %v at revision %d, want %d, of which %d are unknown", n, err, c.Revision, writers*each, unknown.Load())
+	if err != nil || n < writers*perWriter-unknown.Load() || n > writers*perWriter || n != int64(c.Revision) {
+		t.Errorf("count = %d, %v at revision %d, want %d, of which %d are unknown", n, err, c.Revision, writers*perWriter, unknown.Load())
 	}
 }
 
-// increment adds 1 to the number under key and reports whether that is certain.
+// increment adds 1 to the number stored under key and reports whether the update is
+// known to have taken effect.
 func increment(t *testing.T, s *platform.Store) bool {
 	for {
-		c, err := s.Changes(bounded(t), key, 0, 0)
+		c, err := s.Changes(testContext(t), key, 0, 0)
 		if err != nil {
 			t.Error(err)
 			return false
@@ -311,7 +315,7 @@
 			expect = c.Records[0].Revision
 			n, _ = strconv.Atoi(string(c.Records[0].Value))
 		}
-		_, err = s.Swap(bounded(t), key, expect, []byte(strconv.Itoa(n+1)), "writer", time.Now())
+		_, err = s.Swap(testContext(t), key, expect, []byte(strconv.Itoa(n+1)), "writer", time.Now())
 		var conflict *platform.ConflictError
 		if !errors.As(err, &conflict) {
 			return err == nil
@@ -319,7 +323,8 @@
 	}
 }
 
-// Guards against an instance list that is decoded wrongly or hides its outage.
+// TestList guards against an instance list that is decoded wrongly, and against an
+// outage of the list that is not reported.
 func TestList(t *testing.T) {
 	server := startStore(t, store.Config{Lag: -1})
 	l := platform.NewList(newClient(t), server.Addr())
@@ -330,24 +335,24 @@
 	for _, entry := range want {
 		server.SetInstance(time.Now(), entry)
 	}
-	got, err := l.Fetch(bounded(t))
+	got, err := l.Fetch(testContext(t))
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Error(err, diff)
 	}
 	server.Close()
-	until(t, func() bool {
-		_, err := l.Fetch(bounded(t))
+	waitUntil(t, func() bool {
+		_, err := l.Fetch(testContext(t))
 		var unavailable *platform.UnavailableError
 		return errors.As(err, &unavailable)
 	})
 }
 
-// until waits for a condition.
-func until(t *testing.T, condition func() bool) {
+// waitUntil fails the test if the condition does not become true within 5 s.
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("condition not met in time")
+			t.Fatal("condition not met within 5 s")
 		}
 	}
 }
