--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -6,27 +6,27 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Action is something that the caller of a Table has to do. It is one of
+// Action is an operation that the caller of a Table executes. It is one of
 // SendRequest, CancelRequest, Refuse, Answer, SendControl, AskReleased,
 // CloseConnections and Event.
 type Action interface{ action() }
 
-// SendRequest starts an attempt. It ends with Table.Done.
+// SendRequest starts an attempt. The caller reports its end with Table.Done.
 type SendRequest struct {
 	ID              fleet.RequestID
 	Upstream        fleet.UpstreamID
 	Address         string
-	Attempt         int // from 1
+	Attempt         int // counts from 1
 	Unit            fleet.Unit
 	Fence           fleet.Fence
 	DispatcherFence fleet.Fence
 	Deadline        time.Time
-	StartBy         time.Time // not sent, and not started by the upstream, at or after this
-	Fresh           bool      // on a new connection
+	StartBy         time.Time // must not be sent, or started by the upstream, at or after this time
+	Fresh           bool      // use a new connection
 }
 
 // CancelRequest closes the connection of an attempt whose response is no longer
-// wanted. The attempt still ends with Table.Done.
+// needed. The caller still reports the end of the attempt with Table.Done.
 type CancelRequest struct {
 	ID      fleet.RequestID
 	Attempt int
@@ -38,13 +38,14 @@
 	Refusal fleet.Refusal
 }
 
-// Answer ends a request with the response of an attempt.
+// Answer ends a request with the response to one of its attempts.
 type Answer struct {
 	ID      fleet.RequestID
 	Attempt int
 }
 
-// SendControl starts a control call. It ends with Table.ControlDone.
+// SendControl starts a control call. The caller reports its end with
+// Table.ControlDone.
 type SendControl struct {
 	Upstream fleet.UpstreamID
 	Address  string
@@ -53,8 +54,8 @@
 	Timeout  time.Duration
 }
 
-// AskReleased asks the dispatcher of Previous whether the units are released
-// there; PreviousReleased reports those that are.
+// AskReleased asks the dispatcher of Previous whether the units are released at that
+// upstream. The caller reports the released ones with Table.PreviousReleased.
 type AskReleased struct {
 	Upstream fleet.UpstreamID
 	Previous fleet.UpstreamID
@@ -67,7 +68,7 @@
 	Address  string
 }
 
-// Event is a change of state for logs and explanations.
+// Event reports a change of state for logs and explanations.
 type Event struct {
 	Upstream fleet.UpstreamID
 	Kind     string
@@ -83,7 +84,7 @@
 func (CloseConnections) action() {}
 func (Event) action()            {}
 
-// Stamp is a reading of an upstream's own clock.
+// Stamp is a reading of an upstream's clock, which only the upstream interprets.
 type Stamp int64
 
 // CallKind is the kind of a control call.
@@ -117,10 +118,10 @@
 type Call struct {
 	Kind            CallKind
 	DispatcherFence fleet.Fence
-	Instance        fleet.InstanceID // hello
-	Stamp           Stamp            // renew
-	TTL             time.Duration    // renew
-	Grants          []fleet.Grant    // grant and revoke
+	Instance        fleet.InstanceID // for Hello
+	Stamp           Stamp            // for Renew
+	TTL             time.Duration    // for Renew
+	Grants          []fleet.Grant    // for GrantUnits and RevokeUnits
 }
 
 // Reply is the response of an upstream to a control call.
@@ -128,30 +129,31 @@
 	Boot  fleet.BootID
 	Stamp Stamp
 	Fence fleet.Fence // highest dispatcher fence that the upstream has seen
-	// Running counts the requests under lower dispatcher fences that still run.
+	// Running is the number of requests under lower dispatcher fences that still run.
 	Running int
 }
 
-// ControlResult is the end of a control call.
+// ControlResult is the result of a control call. A call without a response has
+// neither OK nor Refused set.
 type ControlResult struct {
 	Upstream fleet.UpstreamID
 	Seq      uint64
 	Reply    Reply // complete if OK; only Fence if Refused
 	OK       bool
-	Refused  bool // the upstream answered and did not accept the call
+	Refused  bool // the upstream responded but rejected the call
 }
 
 // ResultKind says how an attempt ended.
 type ResultKind uint8
 
-// Ends of an attempt. After Shed, Stale, NotSent and Skipped the request
-// provably never started.
+// Kinds of results. After Shed, Stale, NotSent and Skipped the request provably
+// never started.
 const (
 	Answered  ResultKind = iota + 1
 	Shed                 // the upstream refused: no free slot
-	Stale                // the upstream refused: no such grant or lease
-	NotSent              // no connection
-	Skipped              // not sent for a local reason, such as a start-by time in the past
+	Stale                // the upstream refused: no grant under this fence, or no lease
+	NotSent              // no connection could be opened
+	Skipped              // not sent for a local reason, such as a passed start-by time
 	Lost                 // the connection failed after the first byte was written
 	TimedOut             // no response before the deadline
 	BadAnswer            // the response belongs to another request
@@ -162,11 +164,11 @@
 	return k == Answered || k == Lost || k == TimedOut || k == BadAnswer
 }
 
-// Result is the end of an attempt.
+// Result is the result of an attempt.
 type Result struct {
 	Kind    ResultKind
 	Status  int            // HTTP status, if Answered
-	Boot    fleet.BootID   // from the response; empty if none
+	Boot    fleet.BootID   // from the response; empty if it has none
 	Refusal *fleet.Refusal // nil: the table chooses one
 }
 
--- a/internal/dispatch/control.go
+++ b/internal/dispatch/control.go
@@ -9,221 +9,230 @@
 type phase uint8
 
 const (
-	phaseHello      phase = iota // the dispatcher fence is not adopted
-	phaseClear                   // what the upstream no longer owns is being revoked
-	phaseRenew                   // the first renewal has not been answered
-	phaseUp                      // renewals are answered
+	phaseHello      phase = iota // hello not answered: the upstream has not adopted the dispatcher fence
+	phaseRevoke                  // units that the upstream no longer owns are being revoked
+	phaseRenew                   // waiting for the reply to the first renewal
+	phaseActive                  // the lease is granted and renewed
 	phaseSuperseded              // the upstream has seen a higher dispatcher fence
 )
 
-// session is the control relation to an upstream.
+// session is the state of the control calls to one upstream.
 //
-// leaseMin and leaseMax bound the end of the upstream's lease on the
-// dispatcher's clock. The lease ends at stamp + TTL. The stamp was read between
-// the sending and the receipt of the call that returned it, so an acknowledged
-// renewal lasts at least until sent + TTL, and a renewal that may have arrived
-// lasts at most until received + TTL.
+// leaseMin and leaseMax are the earliest and the latest possible end of the
+// upstream's lease, on the dispatcher's clock. The lease ends at stamp + TTL on
+// the upstream's clock. The upstream read the stamp between the sending of the
+// call that returned it and the receipt of the reply. An acknowledged renewal
+// therefore lasts at least until sent + TTL, and an unacknowledged one, which may
+// have arrived, at most until received + TTL.
 type session struct {
-	phase     phase
-	boot      fleet.BootID
-	stamp     stamp
-	leaseMin  time.Time
-	leaseMax  time.Time
-	misses    int
-	lost      bool
-	nextBeat  time.Time
-	beat      *call // hello or renewal without an end yet
-	granting  *call
-	revoking  *call
-	everKnown bool // the boot id has been seen
-	foreign   int  // requests of previous dispatchers that still run, as of the last reply
+	phase           phase
+	boot            fleet.BootID
+	stamp           clockReading
+	leaseMin        time.Time
+	leaseMax        time.Time
+	missedCalls     int
+	lost            bool
+	nextKeepalive   time.Time
+	keepalive       *pendingCall // pending hello or renewal
+	grantCall       *pendingCall
+	revokeCall      *pendingCall
+	bootKnown       bool // boot is known
+	previousRunning int  // running requests of previous dispatchers, as of the last reply
 }
 
-type stamp struct {
+// clockReading is a stamp of the upstream's clock with the times, on the
+// dispatcher's clock, between which it was read.
+type clockReading struct {
 	value          Stamp
 	sent, received time.Time
 }
 
-type call struct {
+// pendingCall is a control call that has not ended.
+type pendingCall struct {
 	seq   uint64
 	sent  time.Time
 	call  Call
-	stamp stamp // that a renewal carries
+	stamp clockReading // sent with a renewal
 }
 
-// restart begins with a hello again. leaseMax stays: a renewal that was sent
-// before may still be valid.
+// restart returns to the hello phase. It keeps leaseMax, because a renewal that
+// was already sent may still extend the lease.
 func (s *session) restart(now time.Time) {
-	s.phase, s.misses, s.leaseMin, s.nextBeat = phaseHello, 0, time.Time{}, now
-	s.beat, s.granting, s.revoking = nil, nil, nil
+	s.phase, s.missedCalls, s.leaseMin, s.nextKeepalive = phaseHello, 0, time.Time{}, now
+	s.keepalive, s.grantCall, s.revokeCall = nil, nil, nil
 }
 
-// serves reports whether requests may be sent as far as the session decides.
-func (u *upstream) serves(now time.Time) bool {
-	if u.retired || u.session.phase != phaseUp || !u.taken(now) {
+// canSend reports whether the session and the takeover from the previous
+// dispatcher permit sending requests.
+func (u *upstream) canSend(now time.Time) bool {
+	if u.retired || u.session.phase != phaseActive || !u.previousExcluded(now) {
 		return false
 	}
 	return !u.duty.Fenced || now.Before(u.session.leaseMin)
 }
 
-// taken reports whether the previous dispatcher can be ruled out. A fenced
-// upstream rules it out itself once it has seen the higher fence.
-func (u *upstream) taken(now time.Time) bool {
+// previousExcluded reports whether the previous dispatcher can no longer start
+// requests. A fenced upstream rejects them itself once it has seen the higher
+// dispatcher fence.
+func (u *upstream) previousExcluded(now time.Time) bool {
 	return u.duty.Fenced || (!u.duty.Taken.IsZero() && !now.Before(u.duty.Taken))
 }
 
 func (t *Table) advanceSession(now time.Time, u *upstream) {
 	s := &u.session
-	if !t.holds(now) || s.phase == phaseSuperseded {
+	if !t.hasAuthority(now) || s.phase == phaseSuperseded {
 		return
 	}
-	if u.duty.Fenced && s.phase == phaseUp && !now.Before(s.leaseMin) {
-		t.lose(now, u, "the lease may have expired")
+	if u.duty.Fenced && s.phase == phaseActive && !now.Before(s.leaseMin) {
+		t.endSession(now, u, "the lease may have expired")
 	}
-	if s.phase == phaseClear {
-		t.clearMoved(now, u)
+	if s.phase == phaseRevoke {
+		t.revokeMoved(now, u)
 	}
-	if s.beat != nil || s.phase == phaseClear || now.Before(s.nextBeat) {
+	if s.keepalive != nil || s.phase == phaseRevoke || now.Before(s.nextKeepalive) {
 		return
 	}
-	s.nextBeat = now.Add(t.cfg.RenewEvery)
+	s.nextKeepalive = now.Add(t.cfg.RenewInterval)
 	if s.phase == phaseHello {
-		s.beat = t.control(now, u, Call{Kind: Hello, Instance: t.cfg.Instance})
+		s.keepalive = t.sendControl(now, u, Call{Kind: Hello, Instance: t.cfg.Instance})
 		return
 	}
-	s.beat = t.control(now, u, Call{Kind: Renew, Stamp: s.stamp.value, TTL: t.cfg.LeaseTTL})
+	s.keepalive = t.sendControl(now, u, Call{Kind: Renew, Stamp: s.stamp.value, TTL: t.cfg.LeaseTTL})
 	if end := s.stamp.received.Add(t.cfg.LeaseTTL); end.After(s.leaseMax) {
 		s.leaseMax = end
 	}
 }
 
-// clearMoved revokes what the upstream no longer owns before the first renewal.
-// Until then the lease of the previous dispatcher bounds what can still run, and
-// that dispatcher may already have counted the lease as ended.
-func (t *Table) clearMoved(now time.Time, u *upstream) {
+// revokeMoved revokes the units that the upstream no longer owns, before the first
+// renewal. Until that renewal, grants of the previous dispatcher end with its lease,
+// and that dispatcher may already have reported units as released on that ground.
+func (t *Table) revokeMoved(now time.Time, u *upstream) {
 	s := &u.session
-	if s.revoking != nil {
+	if s.revokeCall != nil {
 		return
 	}
 	var grants []fleet.Grant
 	if u.duty.Fenced {
-		for _, x := range u.list {
-			if !x.mine && x.state == unitDraining {
-				grants = append(grants, x.revocation())
+		for _, x := range u.sortedUnits {
+			if !x.owned && x.state == unitDraining {
+				grants = append(grants, x.grant())
 			}
 		}
 	}
 	if len(grants) == 0 {
-		s.phase, s.nextBeat = phaseRenew, now
+		s.phase, s.nextKeepalive = phaseRenew, now
 		return
 	}
-	s.revoking = t.control(now, u, Call{Kind: RevokeUnits, Grants: grants})
+	s.revokeCall = t.sendControl(now, u, Call{Kind: RevokeUnits, Grants: grants})
 }
 
-func (t *Table) control(now time.Time, u *upstream, c Call) *call {
-	t.seq++
+func (t *Table) sendControl(now time.Time, u *upstream, c Call) *pendingCall {
+	t.controlSeq++
 	c.DispatcherFence = u.duty.Fence
-	t.emit(SendControl{Upstream: u.id, Address: u.duty.Address, Seq: t.seq, Call: c, Timeout: t.cfg.RenewEvery})
-	return &call{seq: t.seq, sent: now, call: c, stamp: u.session.stamp}
+	t.emit(SendControl{Upstream: u.id, Address: u.duty.Address, Seq: t.controlSeq, Call: c, Timeout: t.cfg.RenewInterval})
+	return &pendingCall{seq: t.controlSeq, sent: now, call: c, stamp: u.session.stamp}
 }
 
 // ControlDone reports the end of a control call.
 func (t *Table) ControlDone(now time.Time, res ControlResult) []Action {
-	u := t.ups[res.Upstream]
+	u := t.upstreams[res.Upstream]
 	if u == nil || u.retired {
 		return nil
 	}
 	s := &u.session
 	switch {
-	case s.beat != nil && s.beat.seq == res.Seq:
-		c := s.beat
-		s.beat = nil
-		t.beatDone(now, u, c, res)
-	case s.granting != nil && s.granting.seq == res.Seq:
-		c := s.granting
-		s.granting = nil
+	case s.keepalive != nil && s.keepalive.seq == res.Seq:
+		c := s.keepalive
+		s.keepalive = nil
+		t.keepaliveDone(now, u, c, res)
+	case s.grantCall != nil && s.grantCall.seq == res.Seq:
+		c := s.grantCall
+		s.grantCall = nil
 		t.grantDone(now, u, c, res)
-	case s.revoking != nil && s.revoking.seq == res.Seq:
-		c := s.revoking
-		s.revoking = nil
+	case s.revokeCall != nil && s.revokeCall.seq == res.Seq:
+		c := s.revokeCall
+		s.revokeCall = nil
 		t.revokeDone(now, u, c, res)
 	default:
-		return nil // of an earlier session
+		return nil // the call belongs to an earlier session
 	}
 	t.advance(now, u)
-	return t.take()
+	return t.takeActions()
 }
 
-func (t *Table) beatDone(now time.Time, u *upstream, c *call, res ControlResult) {
+func (t *Table) keepaliveDone(now time.Time, u *upstream, c *pendingCall, res ControlResult) {
 	s := &u.session
 	if res.Refused && u.duty.Fenced {
-		t.refused(now, u, res)
+		t.controlRefused(now, u, res)
 		return
 	}
 	if !res.OK && !res.Refused {
-		s.misses++
-		if s.misses >= t.cfg.Misses && !s.lost {
-			t.lose(now, u, "no response to "+c.call.Kind.String())
+		s.missedCalls++
+		if s.missedCalls >= t.cfg.MaxMissedCalls && !s.lost {
+			t.endSession(now, u, "no response to "+c.call.Kind.String())
 			s.lost = true
 			t.emit(CloseConnections{Upstream: u.id, Address: u.duty.Address})
-			t.event(u, "lost", "control calls in a row without a response")
+			t.emitEvent(u, "lost", "control calls in a row without a response")
 		}
 		return
 	}
-	// An unfenced upstream may know no control calls; an answer shows that it is alive.
-	s.misses = 0
-	if t.rebooted(now, u, res.Reply.Boot) && c.call.Kind == Renew {
+	// An unfenced upstream may not implement control calls and refuse them all. Any
+	// response shows that it is reachable.
+	s.missedCalls = 0
+	if t.updateBoot(now, u, res.Reply.Boot) && c.call.Kind == Renew {
 		s.restart(now)
 		return
 	}
-	s.foreign = res.Reply.Running
-	s.stamp = stamp{value: res.Reply.Stamp, sent: c.sent, received: now}
+	s.previousRunning = res.Reply.Running
+	s.stamp = clockReading{value: res.Reply.Stamp, sent: c.sent, received: now}
 	if c.call.Kind == Hello {
-		s.phase = phaseClear
+		s.phase = phaseRevoke
 		return
 	}
 	s.leaseMin = c.stamp.sent.Add(t.cfg.LeaseTTL)
-	if s.phase != phaseUp {
-		s.phase = phaseUp
-		t.event(u, "up", "boot "+string(s.boot))
+	if s.phase != phaseActive {
+		s.phase = phaseActive
+		t.emitEvent(u, "up", "boot "+string(s.boot))
 	}
 	s.lost = false
 }
 
-// refused handles a control call that a fenced upstream did not accept.
-func (t *Table) refused(now time.Time, u *upstream, res ControlResult) {
+// controlRefused handles a control call that a fenced upstream refused.
+func (t *Table) controlRefused(now time.Time, u *upstream, res ControlResult) {
 	if res.Reply.Fence > u.duty.Fence {
 		u.session.restart(now)
 		u.session.phase = phaseSuperseded
-		u.voidGrants()
-		t.event(u, "superseded", "dispatcher fence "+res.Reply.Fence.String())
+		u.invalidateGrants()
+		t.emitEvent(u, "superseded", "dispatcher fence "+res.Reply.Fence.String())
 		return
 	}
-	t.lose(now, u, "control call refused")
+	t.endSession(now, u, "control call refused")
 }
 
-// lose goes back to the hello; every unit has to be granted again.
-func (t *Table) lose(now time.Time, u *upstream, why string) {
-	misses := u.session.misses
+// endSession returns to the hello phase. Every unit has to be granted again.
+func (t *Table) endSession(now time.Time, u *upstream, cause string) {
+	misses := u.session.missedCalls
 	u.session.restart(now)
-	u.session.misses = misses
-	u.session.nextBeat = now.Add(t.cfg.AskEvery)
-	u.voidGrants()
-	t.event(u, "session-ended", why)
+	u.session.missedCalls = misses
+	u.session.nextKeepalive = now.Add(t.cfg.ControlRetryInterval)
+	u.invalidateGrants()
+	t.emitEvent(u, "session-ended", cause)
 }
 
-// rebooted notes the boot id. A new process holds no grants and is cold.
-func (t *Table) rebooted(now time.Time, u *upstream, boot fleet.BootID) bool {
+// updateBoot records the boot id of a reply and reports whether it is new. A new
+// process has no grants and is cold, unless the previous dispatcher reported a
+// limit for the same boot id.
+func (t *Table) updateBoot(now time.Time, u *upstream, boot fleet.BootID) bool {
 	s := &u.session
-	if s.everKnown && s.boot == boot {
+	if s.bootKnown && s.boot == boot {
 		return false
 	}
-	s.boot, s.everKnown = boot, true
-	u.warming.cool(now, u.duty.ColdSlots)
+	s.boot, s.bootKnown = boot, true
+	u.warmup.resetToCold(now, u.duty.ColdSlots)
 	if last := u.duty.Last; boot != "" && last.Boot == boot {
-		u.warming.limit = max(u.warming.limit, min(last.Limit, u.warming.slots))
+		u.warmup.limit = max(u.warmup.limit, min(last.Limit, u.warmup.slots))
 	}
-	u.voidGrants()
-	t.event(u, "new-boot", string(boot))
+	u.invalidateGrants()
+	t.emitEvent(u, "new-boot", string(boot))
 	return true
 }
--- a/internal/dispatch/hotkeys.go
+++ b/internal/dispatch/hotkeys.go
@@ -10,75 +10,76 @@
 )
 
 const (
-	// hotCounters bounds the memory of the sketch. A key with more than 1/64 of
-	// an upstream's requests is certain to be counted.
-	hotCounters = 64
-	hotReported = 8
-	hotWindow   = time.Second
+	// maxHotKeyCounters bounds the memory of the sketch. A key with more than 1/64 of
+	// an upstream's requests is certain to have a counter at the end of the window.
+	maxHotKeyCounters  = 64
+	maxReportedHotKeys = 8
+	hotKeyWindow       = time.Second
 )
 
-// hotKeys is a space-saving sketch of the routing keys in one window.
+// hotKeys counts the most frequent routing keys of an upstream in windows of
+// hotKeyWindow with the Space-Saving algorithm.
 type hotKeys struct {
-	since  time.Time
-	n      int
-	counts []hotCount
-	index  map[fleet.RoutingKey]int // position in counts
-	load   float64                  // requests/s in the last whole window
-	top    []assignment.HotKey      // of the last whole window
+	windowStart time.Time
+	requests    int
+	counters    []hotKeyCounter
+	index       map[fleet.RoutingKey]int // index into counters
+	rate        float64                  // requests/s in the last complete window
+	top         []assignment.HotKey      // most frequent keys of the last complete window
 }
 
-type hotCount struct {
-	key    fleet.RoutingKey
-	n      int
-	excess int // upper bound of what n counts too much
+type hotKeyCounter struct {
+	key       fleet.RoutingKey
+	count     int
+	overcount int // upper bound on the overestimate of count
 }
 
 func newHotKeys(now time.Time) hotKeys {
-	return hotKeys{since: now, index: make(map[fleet.RoutingKey]int, hotCounters)}
+	return hotKeys{windowStart: now, index: make(map[fleet.RoutingKey]int, maxHotKeyCounters)}
 }
 
 func (h *hotKeys) add(key fleet.RoutingKey) {
-	h.n++
+	h.requests++
 	if i, ok := h.index[key]; ok {
-		h.counts[i].n++
+		h.counters[i].count++
 		return
 	}
-	if len(h.counts) < hotCounters {
-		h.index[key] = len(h.counts)
-		h.counts = append(h.counts, hotCount{key: key, n: 1})
+	if len(h.counters) < maxHotKeyCounters {
+		h.index[key] = len(h.counters)
+		h.counters = append(h.counters, hotKeyCounter{key: key, count: 1})
 		return
 	}
-	least := 0
-	for i, c := range h.counts {
-		if c.n < h.counts[least].n {
-			least = i
+	lowest := 0
+	for i, c := range h.counters {
+		if c.count < h.counters[lowest].count {
+			lowest = i
 		}
 	}
-	c := &h.counts[least]
+	c := &h.counters[lowest]
 	delete(h.index, c.key)
-	h.index[key] = least
-	*c = hotCount{key: key, n: c.n + 1, excess: c.n}
+	h.index[key] = lowest
+	*c = hotKeyCounter{key: key, count: c.count + 1, overcount: c.count}
 }
 
-// roll ends the window if it has lasted long enough.
-func (h *hotKeys) roll(now time.Time) {
-	length := now.Sub(h.since)
-	if length < hotWindow {
+// rotateWindow starts a new window if the present one has lasted hotKeyWindow.
+func (h *hotKeys) rotateWindow(now time.Time) {
+	length := now.Sub(h.windowStart)
+	if length < hotKeyWindow {
 		return
 	}
-	slices.SortFunc(h.counts, func(a, b hotCount) int {
-		if d := (b.n - b.excess) - (a.n - a.excess); d != 0 {
+	slices.SortFunc(h.counters, func(a, b hotKeyCounter) int {
+		if d := (b.count - b.overcount) - (a.count - a.overcount); d != 0 {
 			return d
 		}
 		return strings.Compare(string(a.key), string(b.key))
 	})
 	h.top = h.top[:0]
-	for _, c := range h.counts[:min(hotReported, len(h.counts))] {
-		if sure := c.n - c.excess; sure > 1 {
-			h.top = append(h.top, assignment.HotKey{Key: c.key, Rate: float64(sure) / length.Seconds()})
+	for _, c := range h.counters[:min(maxReportedHotKeys, len(h.counters))] {
+		if minCount := c.count - c.overcount; minCount > 1 {
+			h.top = append(h.top, assignment.HotKey{Key: c.key, Rate: float64(minCount) / length.Seconds()})
 		}
 	}
-	h.load = float64(h.n) / length.Seconds()
-	h.since, h.n, h.counts = now, 0, h.counts[:0]
+	h.rate = float64(h.requests) / length.Seconds()
+	h.windowStart, h.requests, h.counters = now, 0, h.counters[:0]
 	clear(h.index)
 }
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -6,107 +6,110 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// driftMargin covers the drift between the clocks of dispatcher and upstream
+// clockDriftMargin covers the drift between the clocks of dispatcher and upstream
 // over one lease.
-const driftMargin = 10 * time.Millisecond
+const clockDriftMargin = 10 * time.Millisecond
 
-// ghost is an attempt that ended without a response and may still run.
-type ghost struct {
+// lingeringAttempt is an attempt that ended without a response and may still run at
+// the upstream.
+type lingeringAttempt struct {
 	unit      fleet.Unit
 	key       fleet.RoutingKey
-	slotUntil time.Time // the upstream has noticed the closed connection
-	runsUntil time.Time // the deadline has passed on every clock
+	slotUntil time.Time // when the upstream has detected the closed connection and freed the slot
+	runsUntil time.Time // when the deadline has passed on every clock
 }
 
 // sendRevocations revokes units that have no open attempts.
 func (t *Table) sendRevocations(now time.Time, u *upstream) {
-	// A grant on its way could overtake the revocation.
-	if u.session.revoking != nil || u.session.granting != nil || now.Before(u.nextRevoke) {
+	// A grant call that is still in transit could arrive after the revocation.
+	if u.session.revokeCall != nil || u.session.grantCall != nil || now.Before(u.nextRevoke) {
 		return
 	}
 	var grants []fleet.Grant
-	for _, x := range u.list {
-		due := x.state == unitDraining || (x.state == unitCleared && u.confirmed(now))
-		if len(grants) < maxGrants && !x.mine && due && u.openFor(x) == 0 && (x.own.Unit.Pin == "" || u.shardsSettled()) {
-			grants = append(grants, x.revocation())
+	for _, x := range u.sortedUnits {
+		due := x.state == unitDraining || (x.state == unitRevokedUnconfirmed && u.takeoverInForce(now))
+		if len(grants) < maxGrants && !x.owned && due && u.attemptsForKeysOf(x) == 0 && (x.own.Unit.Pin == "" || u.shardFencesCurrent()) {
+			grants = append(grants, x.grant())
 			x.state = unitRevoking
 		}
 	}
 	if len(grants) > 0 {
-		u.session.revoking = t.control(now, u, Call{Kind: RevokeUnits, Grants: grants})
+		u.session.revokeCall = t.sendControl(now, u, Call{Kind: RevokeUnits, Grants: grants})
 	}
 }
 
-// shardsSettled reports whether no shard is held under an older fence. A pin takes
-// its key out of a shard and gives the shard a new fence. Until that is granted,
-// a delayed request for the key could still start under the old one.
-func (u *upstream) shardsSettled() bool {
-	for _, x := range u.list {
-		if x.own.Unit.Pin != "" || x.held == 0 || x.state == unitReleased {
+// shardFencesCurrent reports whether every shard is granted under its present fence
+// or released. A pin takes its key out of a shard, and the shard gets a new fence.
+// Until the shard is granted under it, a delayed request for the key could still
+// start under the old fence.
+func (u *upstream) shardFencesCurrent() bool {
+	for _, x := range u.sortedUnits {
+		if x.own.Unit.Pin != "" || x.grantedFence == 0 || x.state == unitReleased {
 			continue
 		}
-		if !x.mine || x.state != unitGranted || x.held != x.own.Fence {
+		if !x.owned || x.state != unitGranted || x.grantedFence != x.own.Fence {
 			return false
 		}
 	}
 	return true
 }
 
-// confirmed reports whether the previous dispatcher had no authority any more.
-// Until then a revocation is no release: an upstream that restarts forgets the
-// dispatcher fence, and the previous dispatcher could grant the unit again.
-func (u *upstream) confirmed(at time.Time) bool {
+// takeoverInForce reports whether the previous dispatcher had lost its authority by
+// the given time. A revocation sent earlier does not release the unit: an upstream
+// that restarts forgets the dispatcher fence, and the previous dispatcher could
+// grant the unit again.
+func (u *upstream) takeoverInForce(at time.Time) bool {
 	return !u.duty.Taken.IsZero() && !at.Before(u.duty.Taken)
 }
 
-func (t *Table) revokeDone(now time.Time, u *upstream, c *call, res ControlResult) {
+func (t *Table) revokeDone(now time.Time, u *upstream, c *pendingCall, res ControlResult) {
 	for _, g := range c.call.Grants {
 		x := u.units[g.Unit]
-		if x == nil || x.mine || x.state == unitReleased {
+		if x == nil || x.owned || x.state == unitReleased {
 			continue
 		}
 		switch {
 		case !res.OK || x.own.Fence != g.Fence:
 			x.state = unitDraining
-		case u.confirmed(c.sent):
-			t.release(u, x, "revoked")
+		case u.takeoverInForce(c.sent):
+			t.markReleased(u, x, "revoked")
 		default:
-			x.state = unitCleared
+			x.state = unitRevokedUnconfirmed
 		}
 	}
 	if !res.OK {
-		u.nextRevoke = now.Add(t.cfg.AskEvery)
+		u.nextRevoke = now.Add(t.cfg.ControlRetryInterval)
 	}
 	switch {
 	case res.Refused:
-		t.refused(now, u, res)
-	case u.session.phase == phaseClear && !res.OK:
-		t.lose(now, u, "no response to revoke")
+		t.controlRefused(now, u, res)
+	case u.session.phase == phaseRevoke && !res.OK:
+		t.endSession(now, u, "no response to revoke")
 	}
-	u.forgetGone()
+	u.removeReleased()
 }
 
-// expireReleases releases units that can no longer have an effect although the
-// upstream has confirmed nothing.
-func (t *Table) expireReleases(now time.Time, u *upstream) {
-	for _, x := range u.list {
-		if x.mine || x.state == unitReleased {
+// releaseExpired releases units without a confirmation from the upstream once no
+// request for them can take effect there any more.
+func (t *Table) releaseExpired(now time.Time, u *upstream) {
+	for _, x := range u.sortedUnits {
+		if x.owned || x.state == unitReleased {
 			continue
 		}
 		switch {
-		case u.duty.Fenced && t.leaseOver(now, u):
-			t.release(u, x, "lease ended")
-		case !u.duty.Fenced && t.quiet(now, u, x):
-			t.release(u, x, "no request outstanding")
+		case u.duty.Fenced && t.leaseExpired(now, u):
+			t.markReleased(u, x, "lease ended")
+		case !u.duty.Fenced && t.noRequestRunning(now, u, x):
+			t.markReleased(u, x, "no request outstanding")
 		}
 	}
-	u.forgetGone()
+	u.removeReleased()
 }
 
-// leaseOver reports whether the lease of an upstream that does not answer must
-// have ended. A previous dispatcher may have renewed it until this one's
-// assignment was in force.
-func (t *Table) leaseOver(now time.Time, u *upstream) bool {
+// leaseExpired reports whether the lease of an upstream without a session must have
+// expired. A previous dispatcher may have renewed it until the assignment to this
+// dispatcher came into force.
+func (t *Table) leaseExpired(now time.Time, u *upstream) bool {
 	s := &u.session
 	if s.phase != phaseHello || u.duty.Taken.IsZero() {
 		return false
@@ -115,59 +118,59 @@
 	if s.leaseMax.After(end) {
 		end = s.leaseMax
 	}
-	return now.After(end.Add(driftMargin))
+	return now.After(end.Add(clockDriftMargin))
 }
 
-// quiet reports whether no request for the unit can still run at an unfenced
-// upstream: neither an own one nor one of a previous dispatcher.
-func (t *Table) quiet(now time.Time, u *upstream, x *unit) bool {
+// noRequestRunning reports whether no request for the unit can still run at an
+// unfenced upstream, whether sent by this dispatcher or by a previous one.
+func (t *Table) noRequestRunning(now time.Time, u *upstream, x *unit) bool {
 	if u.duty.Taken.IsZero() {
 		return false
 	}
-	longest := u.duty.Timeout
-	if longest <= 0 {
-		longest = t.cfg.LongestDeadline
+	maxTimeout := u.duty.Timeout
+	if maxTimeout <= 0 {
+		maxTimeout = t.cfg.MaxRequestTimeout
 	}
-	if now.Before(u.duty.Taken.Add(longest + t.cfg.ClockSkew)) {
+	if now.Before(u.duty.Taken.Add(maxTimeout + t.cfg.ClockSkew)) {
 		return false
 	}
-	for _, a := range u.open {
-		if u.concerns(x, a.unit, a.request.Key) && !now.After(a.request.Deadline.Add(t.cfg.ClockSkew)) {
+	for _, a := range u.openAttempts {
+		if u.includesKey(x, a.unit, a.request.Key) && !now.After(a.request.Deadline.Add(t.cfg.ClockSkew)) {
 			return false
 		}
 	}
-	for _, g := range u.ghosts {
-		if u.concerns(x, g.unit, g.key) && !now.After(g.runsUntil) {
+	for _, g := range u.lingering {
+		if u.includesKey(x, g.unit, g.key) && !now.After(g.runsUntil) {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *Table) release(u *upstream, x *unit, why string) {
+func (t *Table) markReleased(u *upstream, x *unit, cause string) {
 	x.state = unitReleased
-	t.event(u, "released", x.own.Unit.String()+": "+why)
+	t.emitEvent(u, "released", x.own.Unit.String()+": "+cause)
 }
 
-// Released answers another dispatcher: is every grant of the unit at the
-// upstream with a lower fence released?
+// Released answers a release query of another dispatcher. For each grant it returns
+// whether all grants of that unit at the upstream with a lower fence are released.
 func (t *Table) Released(now time.Time, up fleet.UpstreamID, grants []fleet.Grant) []bool {
 	out := make([]bool, len(grants))
-	u := t.ups[up]
+	u := t.upstreams[up]
 	if u == nil || u.retired {
 		return out
 	}
-	t.expireReleases(now, u)
+	t.releaseExpired(now, u)
 	for i, g := range grants {
 		out[i] = u.hasReleased(g)
 	}
 	return out
 }
 
-// hasReleased needs an assignment that names the asker's fence or a later one.
-// An older assignment says nothing about grants that another dispatcher of the
-// upstream made since.
+// hasReleased reports whether the unit is released for a new grant g. This table's
+// assignment must give the unit the fence of g or a later one: an older assignment
+// does not cover grants that another dispatcher of the upstream made since.
 func (u *upstream) hasReleased(g fleet.Grant) bool {
 	x := u.units[g.Unit]
-	return x != nil && !x.mine && x.state == unitReleased && x.own.Fence >= g.Fence
+	return x != nil && !x.owned && x.state == unitReleased && x.own.Fence >= g.Fence
 }
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -8,23 +8,23 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// maxAttempts is the first attempt and one retry.
+// maxAttempts allows the first attempt and one retry.
 const maxAttempts = 2
 
-// budget allows retries for a share of the requests, so that retries cannot
-// multiply the load of an upstream that fails.
-type budget struct {
-	share  float64
+// retryBudget limits retries and hedged requests to a ratio of the requests, so that
+// they cannot multiply the load on a failing upstream.
+type retryBudget struct {
+	ratio  float64
 	tokens float64
 }
 
-// maxBudget bounds a burst of retries after a long time without any.
-const maxBudget = 20
+// maxRetryTokens bounds a burst of retries after a long time without retries.
+const maxRetryTokens = 20
 
-func (b *budget) earn() { b.tokens = min(b.tokens+b.share, maxBudget) }
+func (b *retryBudget) credit() { b.tokens = min(b.tokens+b.ratio, maxRetryTokens) }
 
-func (b *budget) spend() bool {
-	// The sum of many shares of 0.1 falls short of 1 by rounding.
+func (b *retryBudget) spend() bool {
+	// Rounding leaves the sum of ten ratios of 0.1 slightly below 1.
 	if b.tokens < 1-1e-9 {
 		return false
 	}
@@ -32,59 +32,59 @@
 	return true
 }
 
-// Done reports the end of an attempt.
+// Done reports the end of attempt n of a request.
 func (t *Table) Done(now time.Time, id fleet.RequestID, n int, res Result) []Action {
 	r := t.requests[id]
 	if r == nil {
 		return nil
 	}
-	i := slices.IndexFunc(r.open, func(a *attempt) bool { return a.n == n })
+	i := slices.IndexFunc(r.openAttempts, func(a *attempt) bool { return a.number == n })
 	if i < 0 {
 		return nil
 	}
-	a := r.open[i]
-	r.open = slices.Delete(r.open, i, i+1)
-	u := t.ups[r.Upstream]
-	u.open = slices.DeleteFunc(u.open, func(x *attempt) bool { return x == a })
-	t.measure(now, u, a, res)
+	a := r.openAttempts[i]
+	r.openAttempts = slices.Delete(r.openAttempts, i, i+1)
+	u := t.upstreams[r.Upstream]
+	u.openAttempts = slices.DeleteFunc(u.openAttempts, func(x *attempt) bool { return x == a })
+	t.recordResult(now, u, a, res)
 	if res.Kind == Answered {
 		t.answer(r, a)
 	} else {
-		t.failed(now, u, r, res)
+		t.handleFailure(now, u, r, res)
 	}
-	t.forget(r)
+	t.removeFinished(r)
 	t.advance(now, u)
-	return t.take()
+	return t.takeActions()
 }
 
-// measure updates what the dispatcher knows about the upstream.
-func (t *Table) measure(now time.Time, u *upstream, a *attempt, res Result) {
-	u.warming.ended(now, len(u.open))
+// recordResult updates the state of the upstream from the result of an attempt.
+func (t *Table) recordResult(now time.Time, u *upstream, a *attempt, res Result) {
+	u.warmup.attemptEnded(now, len(u.openAttempts))
 	switch res.Kind {
 	case Answered:
 		switch res.Status {
 		case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-			u.warming.cool(now, u.duty.ColdSlots)
+			u.warmup.resetToCold(now, u.duty.ColdSlots)
 		default:
-			u.warming.done(now, now.Sub(a.sent), res.Status < http.StatusInternalServerError, u.duty.warmStep())
+			u.warmup.recordResponse(now, now.Sub(a.sent), res.Status < http.StatusInternalServerError, u.duty.warmupStep())
 		}
 	case Shed:
-		u.warming.cool(now, u.duty.ColdSlots)
+		u.warmup.resetToCold(now, u.duty.ColdSlots)
 	case NotSent, Lost:
 		if !a.cancelled {
-			u.warming.cool(now, u.duty.ColdSlots)
+			u.warmup.resetToCold(now, u.duty.ColdSlots)
 			t.emit(CloseConnections{Upstream: u.id, Address: u.duty.Address})
 		}
 	default:
 	}
 	if res.Kind.Ran() && res.Kind != Answered {
-		u.ghosts = append(u.ghosts, ghost{
+		u.lingering = append(u.lingering, lingeringAttempt{
 			unit: a.unit, key: a.request.Key, slotUntil: now.Add(t.cfg.CancelGrace),
 			runsUntil: a.request.Deadline.Add(t.cfg.ClockSkew),
 		})
 	}
-	if res.Boot != "" && u.session.everKnown && res.Boot != u.session.boot && !u.retired {
-		t.lose(now, u, "response of another boot")
+	if res.Boot != "" && u.session.bootKnown && res.Boot != u.session.boot && !u.retired {
+		t.endSession(now, u, "response of another boot")
 	}
 }
 
@@ -93,37 +93,37 @@
 		return
 	}
 	r.finished = true
-	t.emit(Answer{ID: r.ID, Attempt: a.n})
+	t.emit(Answer{ID: r.ID, Attempt: a.number})
 	t.dequeue(r)
-	t.cancelOpen(r)
+	t.cancelAttempts(r)
 }
 
-func (t *Table) cancelOpen(r *request) {
-	for _, a := range r.open {
+func (t *Table) cancelAttempts(r *request) {
+	for _, a := range r.openAttempts {
 		if !a.cancelled {
 			a.cancelled = true
-			t.emit(CancelRequest{ID: r.ID, Attempt: a.n})
+			t.emit(CancelRequest{ID: r.ID, Attempt: a.number})
 		}
 	}
 }
 
-func (t *Table) failed(now time.Time, u *upstream, r *request, res Result) {
+func (t *Table) handleFailure(now time.Time, u *upstream, r *request, res Result) {
 	refusal := res.refusal()
-	if res.Kind.Ran() && r.unknown == nil {
-		r.unknown = &refusal
+	if res.Kind.Ran() && r.unknownOutcome == nil {
+		r.unknownOutcome = &refusal
 	}
 	if res.Kind == Stale {
 		t.regrant(u, r.Unit)
 	}
-	if r.finished || r.queued || len(r.open) > 0 {
+	if r.finished || r.queued || len(r.openAttempts) > 0 {
 		return
 	}
-	if !t.retryable(now, u, r, res) || !t.budget.spend() {
+	if !t.retryable(now, u, r, res) || !t.retryBudget.spend() {
 		t.refuse(r, refusal)
 		return
 	}
 	r.queued = true
-	r.fresh = res.Kind.Ran() || res.Kind == NotSent
+	r.newConnection = res.Kind.Ran() || res.Kind == NotSent
 	if x := u.units[r.Unit]; x.state == unitGranted {
 		u.queue.pushFront(r)
 	} else {
@@ -133,64 +133,64 @@
 
 func (t *Table) retryable(now time.Time, u *upstream, r *request, res Result) bool {
 	x := u.units[r.Unit]
-	if u.retired || x == nil || !x.mine || r.sent >= maxAttempts || !now.Before(r.Deadline) || !t.holds(now) {
+	if u.retired || x == nil || !x.owned || r.attempts >= maxAttempts || !now.Before(r.Deadline) || !t.hasAuthority(now) {
 		return false
 	}
-	return r.Idempotent || (r.unknown == nil && !res.Kind.Ran())
+	return r.Idempotent || (r.unknownOutcome == nil && !res.Kind.Ran())
 }
 
-// regrant repairs a difference between the grants that the upstream holds and
-// those that it was sent.
+// regrant causes a unit to be granted again after the upstream has refused a request
+// although the unit was granted to it.
 func (t *Table) regrant(u *upstream, id fleet.Unit) {
-	if x := u.units[id]; x != nil && x.mine && x.state == unitGranted {
+	if x := u.units[id]; x != nil && x.owned && x.state == unitGranted {
 		x.state = unitUngranted
-		u.unqueue(x)
+		u.moveToUnit(x)
 	}
 }
 
-// retrySilent sends idempotent requests a second time when the first attempt
-// has been silent for much longer than requests take.
-func (t *Table) retrySilent(now time.Time) {
-	for _, u := range t.order {
-		if !t.holds(now) || !u.serves(now) {
+// sendHedges sends idempotent requests a second time, on a new connection, if the
+// first attempt has had no response for much longer than the mean service time.
+func (t *Table) sendHedges(now time.Time) {
+	for _, u := range t.sorted {
+		if !t.hasAuthority(now) || !u.canSend(now) {
 			continue
 		}
-		silence := max(t.cfg.SilentAfter, 8*u.warming.service)
-		for _, a := range slices.Clone(u.open) {
+		hedgeDelay := max(t.cfg.HedgeDelay, 8*u.warmup.serviceTime)
+		for _, a := range slices.Clone(u.openAttempts) {
 			r, x := a.request, u.units[a.unit]
-			if !r.Idempotent || r.finished || r.sent >= maxAttempts || now.Sub(a.sent) < silence || !now.Before(r.Deadline) {
+			if !r.Idempotent || r.finished || r.attempts >= maxAttempts || now.Sub(a.sent) < hedgeDelay || !now.Before(r.Deadline) {
 				continue
 			}
-			if x == nil || !x.mine || x.state != unitGranted || u.occupied(now) >= int(u.warming.limit) || !t.budget.spend() {
+			if x == nil || !x.owned || x.state != unitGranted || u.occupiedSlots(now) >= int(u.warmup.limit) || !t.retryBudget.spend() {
 				continue
 			}
-			r.fresh = true
+			r.newConnection = true
 			t.send(now, u, x, r)
 		}
 	}
 }
 
-// Cancel ends a request whose caller has gone.
+// Cancel ends a request whose caller has disconnected.
 func (t *Table) Cancel(now time.Time, id fleet.RequestID) []Action {
 	r := t.requests[id]
 	if r == nil || r.finished {
 		return nil
 	}
 	reason := fleet.ReasonDeadline
-	if len(r.open) > 0 {
+	if len(r.openAttempts) > 0 {
 		reason = fleet.ReasonTimeout
 	}
 	t.dequeue(r)
 	t.refuse(r, fleet.Refusal{Reason: reason, Detail: "cancelled by the caller"})
-	t.cancelOpen(r)
-	if u := t.ups[r.Upstream]; u != nil {
-		t.pump(now, u)
+	t.cancelAttempts(r)
+	if u := t.upstreams[r.Upstream]; u != nil {
+		t.sendQueued(now, u)
 	}
-	return t.take()
+	return t.takeActions()
 }
 
 func (t *Table) dequeue(r *request) {
-	u := t.ups[r.Upstream]
+	u := t.upstreams[r.Upstream]
 	if !r.queued || u == nil {
 		return
 	}
@@ -201,22 +201,22 @@
 	}
 }
 
-// refuse ends a request. If an earlier attempt may have run, that attempt's
-// refusal is the truthful one.
+// refuse ends a request with a refusal. If an earlier attempt may have run, the
+// refusal of that attempt is used, because the outcome of the request is unknown.
 func (t *Table) refuse(r *request, refusal fleet.Refusal) {
 	if r.finished {
 		return
 	}
 	r.finished = true
-	if r.unknown != nil {
-		refusal = *r.unknown
+	if r.unknownOutcome != nil {
+		refusal = *r.unknownOutcome
 	}
 	t.emit(Refuse{ID: r.ID, Refusal: refusal})
-	t.forget(r)
+	t.removeFinished(r)
 }
 
-func (t *Table) forget(r *request) {
-	if r.finished && len(r.open) == 0 {
+func (t *Table) removeFinished(r *request) {
+	if r.finished && len(r.openAttempts) == 0 {
 		delete(t.requests, r.ID)
 	}
 }
--- a/internal/dispatch/table_test.go
+++ b/internal/dispatch/table_test.go
@@ -13,118 +13,119 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// rig drives one table by hand. Control calls succeed at once unless silent.
-type rig struct {
-	tb      testing.TB
-	table   *dispatch.Table
-	now     time.Time
-	start   time.Time
-	duty    dispatch.Duty
-	boot    fleet.BootID
-	silent  bool
-	running int                    // reported by the upstream
-	hold    bool                   // control calls end only with endCalls
-	held    []dispatch.SendControl // without an end yet
-	actions []dispatch.Action      // all but control calls and events
-	calls   []dispatch.Call
-	n       int
+// harness drives one table step by step. Control calls succeed at once unless silent
+// or holdCalls is set.
+type harness struct {
+	tb        testing.TB
+	table     *dispatch.Table
+	now       time.Time
+	start     time.Time
+	duty      dispatch.Duty
+	boot      fleet.BootID
+	silent    bool
+	running   int                    // running requests of previous dispatchers that the upstream reports
+	holdCalls bool                   // keep control calls pending until failHeldCalls
+	heldCalls []dispatch.SendControl // pending control calls
+	actions   []dispatch.Action      // all but control calls and events
+	calls     []dispatch.Call
+	submitted int
 }
 
-func newRig(tb testing.TB, fenced bool, change func(*dispatch.Duty)) *rig {
+func newHarness(tb testing.TB, fenced bool, change func(*dispatch.Duty)) *harness {
 	start := time.Unix(1e9, 0)
-	r := &rig{tb: tb, table: dispatch.New(dispatch.Config{}), now: start, start: start, boot: "b1"}
-	r.duty = dispatch.Duty{
+	h := &harness{tb: tb, table: dispatch.New(dispatch.Config{}), now: start, start: start, boot: "b1"}
+	h.duty = dispatch.Duty{
 		Upstream: "u0", Service: "s", Address: "a", Fence: 7, Slots: 4, ColdSlots: 4, Fenced: fenced, Taken: start, Timeout: time.Second,
 		Units: []assignment.Ownership{{Unit: unitOf(0), Owner: "u0", Fence: 11}},
 	}
 	if change != nil {
-		change(&r.duty)
+		change(&h.duty)
 	}
-	r.exec(r.table.Tick(r.now, r.now.Add(time.Hour)))
-	r.exec(r.table.Assign(r.now, []dispatch.Duty{r.duty}))
-	return r
+	h.execute(h.table.Tick(h.now, h.now.Add(time.Hour)))
+	h.execute(h.table.Assign(h.now, []dispatch.Duty{h.duty}))
+	return h
 }
 
-func (r *rig) exec(actions []dispatch.Action) {
+func (h *harness) execute(actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.SendControl:
-			r.calls = append(r.calls, a.Call)
-			if r.hold {
-				r.held = append(r.held, a)
+			h.calls = append(h.calls, a.Call)
+			if h.holdCalls {
+				h.heldCalls = append(h.heldCalls, a)
 				continue
 			}
-			res := dispatch.ControlResult{Upstream: a.Upstream, Seq: a.Seq, OK: !r.silent}
-			if !r.silent {
-				res.Reply = dispatch.Reply{Boot: r.boot, Stamp: 1, Fence: a.Call.DispatcherFence, Running: r.running}
+			res := dispatch.ControlResult{Upstream: a.Upstream, Seq: a.Seq, OK: !h.silent}
+			if !h.silent {
+				res.Reply = dispatch.Reply{Boot: h.boot, Stamp: 1, Fence: a.Call.DispatcherFence, Running: h.running}
 			}
-			r.exec(r.table.ControlDone(r.now, res))
+			h.execute(h.table.ControlDone(h.now, res))
 		case dispatch.Event, dispatch.CloseConnections:
 		default:
-			r.actions = append(r.actions, a)
+			h.actions = append(h.actions, a)
 		}
 	}
 }
 
-// endCalls reports the held control calls as lost.
-func (r *rig) endCalls() {
-	held := r.held
-	r.hold, r.held = false, nil
+// failHeldCalls reports the held control calls as unanswered.
+func (h *harness) failHeldCalls() {
+	held := h.heldCalls
+	h.holdCalls, h.heldCalls = false, nil
 	for _, a := range held {
-		r.exec(r.table.ControlDone(r.now, dispatch.ControlResult{Upstream: a.Upstream, Seq: a.Seq}))
+		h.execute(h.table.ControlDone(h.now, dispatch.ControlResult{Upstream: a.Upstream, Seq: a.Seq}))
 	}
 }
 
-// kinds returns the control calls since the last call.
-func (r *rig) kinds() []dispatch.CallKind {
-	out := make([]dispatch.CallKind, 0, len(r.calls))
-	for _, c := range r.calls {
+// takeCallKinds returns the kinds of the control calls since its last call.
+func (h *harness) takeCallKinds() []dispatch.CallKind {
+	out := make([]dispatch.CallKind, 0, len(h.calls))
+	for _, c := range h.calls {
 		out = append(out, c.Kind)
 	}
-	r.calls = nil
+	h.calls = nil
 	return out
 }
 
-// run advances the clock in steps of 10 ms.
-func (r *rig) run(d time.Duration) {
-	for end := r.now.Add(d); r.now.Before(end); {
-		r.now = r.now.Add(10 * time.Millisecond)
-		r.exec(r.table.Tick(r.now, r.start.Add(time.Hour)))
+// run advances the clock by d, with a Tick every 10 ms.
+func (h *harness) run(d time.Duration) {
+	for end := h.now.Add(d); h.now.Before(end); {
+		h.now = h.now.Add(10 * time.Millisecond)
+		h.execute(h.table.Tick(h.now, h.start.Add(time.Hour)))
 	}
 }
 
-func (r *rig) submit(account fleet.AccountID, idempotent bool, timeout time.Duration) fleet.RequestID {
-	r.n++
-	id := fleet.RequestID(fmt.Sprintf("r%d", r.n))
-	r.exec(r.table.Submit(r.now, dispatch.Request{
-		ID: id, Account: account, Unit: unitOf(0), Key: "k", Upstream: "u0", Idempotent: idempotent, Deadline: r.now.Add(timeout),
+func (h *harness) submit(account fleet.AccountID, idempotent bool, timeout time.Duration) fleet.RequestID {
+	h.submitted++
+	id := fleet.RequestID(fmt.Sprintf("r%d", h.submitted))
+	h.execute(h.table.Submit(h.now, dispatch.Request{
+		ID: id, Account: account, Unit: unitOf(0), Key: "k", Upstream: "u0", Idempotent: idempotent, Deadline: h.now.Add(timeout),
 	}))
 	return id
 }
 
-func (r *rig) done(id fleet.RequestID, n int, kind dispatch.ResultKind) {
-	r.exec(r.table.Done(r.now, id, n, dispatch.Result{Kind: kind, Status: 200, Boot: r.boot}))
+func (h *harness) done(id fleet.RequestID, n int, kind dispatch.ResultKind) {
+	h.execute(h.table.Done(h.now, id, n, dispatch.Result{Kind: kind, Status: 200, Boot: h.boot}))
 }
 
 // assign replaces the units of the duty.
-func (r *rig) assign(units ...assignment.Ownership) {
-	r.duty.Units = units
-	r.exec(r.table.Assign(r.now, []dispatch.Duty{r.duty}))
+func (h *harness) assign(units ...assignment.Ownership) {
+	h.duty.Units = units
+	h.execute(h.table.Assign(h.now, []dispatch.Duty{h.duty}))
 }
 
-// moveAway names another owner of the unit.
-func (r *rig) moveAway() {
-	r.assign(assignment.Ownership{Unit: unitOf(0), Owner: "u9", Fence: 12, Previous: []fleet.UpstreamID{"u0"}})
+// moveUnitAway assigns the unit to another upstream.
+func (h *harness) moveUnitAway() {
+	h.assign(assignment.Ownership{Unit: unitOf(0), Owner: "u9", Fence: 12, Previous: []fleet.UpstreamID{"u0"}})
 }
 
-func (r *rig) released(fence fleet.Fence) bool {
-	return r.table.Released(r.now, "u0", []fleet.Grant{{Unit: unitOf(0), Fence: fence}})[0]
+func (h *harness) released(fence fleet.Fence) bool {
+	return h.table.Released(h.now, "u0", []fleet.Grant{{Unit: unitOf(0), Fence: fence}})[0]
 }
 
-// seen returns what happened since the last call, in short form.
-func (r *rig) seen() []string {
+// takeActions returns the actions since its last call as short texts.
+func (h *harness) takeActions() []string {
 	var out []string
-	for _, a := range r.actions {
+	for _, a := range h.actions {
 		switch a := a.(type) {
 		case dispatch.SendRequest:
 			out = append(out, fmt.Sprintf("send %s/%d fresh=%t", a.ID, a.Attempt, a.Fresh))
@@ -138,326 +139,327 @@
 			out = append(out, "ask "+string(a.Previous))
 		}
 	}
-	r.actions = nil
+	h.actions = nil
 	return out
 }
 
-func (r *rig) expect(want ...string) {
-	r.tb.Helper()
-	if diff := cmp.Diff(want, r.seen()); diff != "" {
-		r.tb.Error(diff)
+func (h *harness) expectActions(want ...string) {
+	h.tb.Helper()
+	if diff := cmp.Diff(want, h.takeActions()); diff != "" {
+		h.tb.Error(diff)
 	}
 }
 
-func (r *rig) expectReleased(fence fleet.Fence, want bool) {
-	r.tb.Helper()
-	if got := r.released(fence); got != want {
-		r.tb.Errorf("after %v: released for fence %d = %t, want %t", r.now.Sub(r.start), fence, got, want)
+func (h *harness) expectReleased(fence fleet.Fence, want bool) {
+	h.tb.Helper()
+	if got := h.released(fence); got != want {
+		h.tb.Errorf("after %v: released for fence %d = %t, want %t", h.now.Sub(h.start), fence, got, want)
 	}
 }
 
-// earn fills the retry budget for n retries.
-func (r *rig) earn(n int) {
+// fillRetryBudget answers enough requests to permit n retries.
+func (h *harness) fillRetryBudget(n int) {
 	for range 10 * n {
-		r.done(r.submit("a", true, time.Second), 1, dispatch.Answered)
+		h.done(h.submit("a", true, time.Second), 1, dispatch.Answered)
 	}
-	r.n, r.actions = 0, nil
+	h.submitted, h.actions = 0, nil
 }
 
-// Guards against wrong handling of the failure cases of docs/design.md,
-// sections 6, 8 and 9. Each case ends with what the table did.
+// TestFailureCases guards against wrong handling of the failure cases of
+// docs/design.md, sections 6, 8 and 9. Each case ends with the expected actions.
 func TestFailureCases(t *testing.T) {
 	tests := map[string]struct {
 		unfenced bool
 		change   func(*dispatch.Duty)
-		do       func(*rig)
+		do       func(*harness)
 	}{
-		"handover waits for requests in flight": {do: func(r *rig) {
-			id := r.submit("a", false, time.Second)
-			r.moveAway()
-			r.run(50 * time.Millisecond)
-			r.expectReleased(12, false)
-			r.done(id, 1, dispatch.Answered)
-			r.expectReleased(12, true)
-			r.expectReleased(13, false) // a later assignment is not known here
-			r.submit("a", false, time.Second)
-			r.expect("send r1/1 fresh=false", "answer r1/1", "refuse r2 no-owner")
+		"handover waits for requests in flight": {do: func(h *harness) {
+			id := h.submit("a", false, time.Second)
+			h.moveUnitAway()
+			h.run(50 * time.Millisecond)
+			h.expectReleased(12, false)
+			h.done(id, 1, dispatch.Answered)
+			h.expectReleased(12, true)
+			h.expectReleased(13, false) // the table does not know the assignment with fence 13
+			h.submit("a", false, time.Second)
+			h.expectActions("send r1/1 fresh=false", "answer r1/1", "refuse r2 no-owner")
 		}},
 		"unit waits for its previous owner": {
 			change: func(d *dispatch.Duty) { d.Units[0].Previous = []fleet.UpstreamID{"u9"} },
-			do: func(r *rig) {
-				r.submit("a", false, time.Second)
-				r.run(20 * time.Millisecond)
-				r.exec(r.table.PreviousReleased(r.now, "u0", []fleet.Grant{{Unit: unitOf(0), Fence: 10}}, "u9"))
-				r.expect("ask u9", "ask u9")
-				r.exec(r.table.PreviousReleased(r.now, "u0", []fleet.Grant{{Unit: unitOf(0), Fence: 11}}, "u9"))
-				r.expect("send r1/1 fresh=false")
+			do: func(h *harness) {
+				h.submit("a", false, time.Second)
+				h.run(20 * time.Millisecond)
+				h.execute(h.table.PreviousReleased(h.now, "u0", []fleet.Grant{{Unit: unitOf(0), Fence: 10}}, "u9"))
+				h.expectActions("ask u9", "ask u9")
+				h.execute(h.table.PreviousReleased(h.now, "u0", []fleet.Grant{{Unit: unitOf(0), Fence: 11}}, "u9"))
+				h.expectActions("send r1/1 fresh=false")
 			},
 		},
-		"unreachable upstream releases when its lease ended": {do: func(r *rig) {
-			r.submit("a", false, 5*time.Second)
-			r.silent = true
-			r.moveAway()
-			r.run(700 * time.Millisecond)
-			r.expectReleased(12, false)
-			if !r.table.Reports(r.now)["u0"].Lost {
-				r.tb.Error("not reported as lost after 700 ms of silence")
+		"unreachable upstream releases when its lease has expired": {do: func(h *harness) {
+			h.submit("a", false, 5*time.Second)
+			h.silent = true
+			h.moveUnitAway()
+			h.run(700 * time.Millisecond)
+			h.expectReleased(12, false)
+			if !h.table.Reports(h.now)["u0"].Lost {
+				h.tb.Error("not reported as lost after 700 ms without a response")
 			}
-			r.run(300 * time.Millisecond)
-			r.expectReleased(12, true)
-			r.expect("send r1/1 fresh=false")
+			h.run(300 * time.Millisecond)
+			h.expectReleased(12, true)
+			h.expectActions("send r1/1 fresh=false")
 		}},
-		"new dispatcher of a silent upstream waits for the old one": {
+		"new dispatcher of an unresponsive upstream waits for the lease of the previous one": {
 			change: func(d *dispatch.Duty) { d.Taken = time.Time{} },
-			do: func(r *rig) {
-				r.silent = true
-				r.moveAway()
-				r.run(3 * time.Second)
-				r.expectReleased(12, false)
-				r.duty.Taken = r.now
-				r.moveAway()
-				r.run(900 * time.Millisecond)
-				r.expectReleased(12, false)
-				r.run(50 * time.Millisecond)
-				r.expectReleased(12, true)
+			do: func(h *harness) {
+				h.silent = true
+				h.moveUnitAway()
+				h.run(3 * time.Second)
+				h.expectReleased(12, false)
+				h.duty.Taken = h.now
+				h.moveUnitAway()
+				h.run(900 * time.Millisecond)
+				h.expectReleased(12, false)
+				h.run(50 * time.Millisecond)
+				h.expectReleased(12, true)
 			},
 		},
-		"revocation before the takeover is in force is no release": {
+		"revocation before the takeover is in force does not release": {
 			change: func(d *dispatch.Duty) { d.Taken = time.Time{} },
-			do: func(r *rig) {
-				r.moveAway()
-				r.run(time.Second)
-				r.expectReleased(12, false)
-				r.duty.Taken = r.now
-				r.moveAway()
-				r.expectReleased(12, true)
+			do: func(h *harness) {
+				h.moveUnitAway()
+				h.run(time.Second)
+				h.expectReleased(12, false)
+				h.duty.Taken = h.now
+				h.moveUnitAway()
+				h.expectReleased(12, true)
 			},
 		},
-		"unfenced upstream releases after deadline and clock difference": {unfenced: true, do: func(r *rig) {
-			r.run(2 * time.Second)
-			id := r.submit("a", false, 500*time.Millisecond)
-			r.moveAway()
-			r.done(id, 1, dispatch.Lost)
-			r.run(740 * time.Millisecond)
-			r.expectReleased(12, false)
-			r.run(20 * time.Millisecond)
-			r.expectReleased(12, true)
-			r.expect("send r1/1 fresh=false", "refuse r1 connection-lost")
+		"unfenced upstream releases after deadline and clock skew": {unfenced: true, do: func(h *harness) {
+			h.run(2 * time.Second)
+			id := h.submit("a", false, 500*time.Millisecond)
+			h.moveUnitAway()
+			h.done(id, 1, dispatch.Lost)
+			h.run(740 * time.Millisecond)
+			h.expectReleased(12, false)
+			h.run(20 * time.Millisecond)
+			h.expectReleased(12, true)
+			h.expectActions("send r1/1 fresh=false", "refuse r1 connection-lost")
 		}},
-		"unfenced upstream waits until the old dispatcher is out": {
+		"unfenced upstream waits until the previous dispatcher has no authority": {
 			unfenced: true,
 			change:   func(d *dispatch.Duty) { d.Taken = time.Time{} },
-			do: func(r *rig) {
-				r.submit("a", false, time.Second)
-				r.run(100 * time.Millisecond)
-				r.expect()
-				r.duty.Taken = r.now
-				r.assign(r.duty.Units...)
-				r.expect("send r1/1 fresh=false")
+			do: func(h *harness) {
+				h.submit("a", false, time.Second)
+				h.run(100 * time.Millisecond)
+				h.expectActions()
+				h.duty.Taken = h.now
+				h.assign(h.duty.Units...)
+				h.expectActions("send r1/1 fresh=false")
 			},
 		},
-		"nothing is sent after the lease may have ended": {do: func(r *rig) {
-			r.run(190 * time.Millisecond)
-			r.now = r.now.Add(time.Second) // paused
-			r.submit("a", false, 500*time.Millisecond)
-			r.expect()
-			r.run(30 * time.Millisecond) // hello, renewal and grant again
-			r.expect("send r1/1 fresh=false")
+		"nothing is sent after the lease may have ended": {do: func(h *harness) {
+			h.run(190 * time.Millisecond)
+			h.now = h.now.Add(time.Second) // the process is paused
+			h.submit("a", false, 500*time.Millisecond)
+			h.expectActions()
+			h.run(30 * time.Millisecond) // hello, renewal and grant are repeated
+			h.expectActions("send r1/1 fresh=false")
 		}},
 		"takeover revokes before its first renewal": {
 			change: func(d *dispatch.Duty) {
 				d.Units[0] = assignment.Ownership{Unit: unitOf(0), Owner: "u9", Fence: 12, Previous: []fleet.UpstreamID{"u0"}}
 			},
-			do: func(r *rig) {
-				if diff := cmp.Diff([]dispatch.CallKind{dispatch.Hello, dispatch.RevokeUnits, dispatch.Renew}, r.kinds()); diff != "" {
-					r.tb.Error(diff)
+			do: func(h *harness) {
+				if diff := cmp.Diff([]dispatch.CallKind{dispatch.Hello, dispatch.RevokeUnits, dispatch.Renew}, h.takeCallKinds()); diff != "" {
+					h.tb.Error(diff)
 				}
 			},
 		},
-		"no revocation while a grant is on its way": {do: func(r *rig) {
-			r.hold = true
-			r.assign(assignment.Ownership{Unit: unitOf(0), Owner: "u0", Fence: 12})
-			r.calls = nil
-			r.assign(assignment.Ownership{Unit: unitOf(0), Owner: "u9", Fence: 13, Previous: []fleet.UpstreamID{"u0"}})
-			if kinds := r.kinds(); len(kinds) > 0 {
-				r.tb.Errorf("calls while the grant has no end: %v", kinds)
+		"no revocation while a grant call is pending": {do: func(h *harness) {
+			h.holdCalls = true
+			h.assign(assignment.Ownership{Unit: unitOf(0), Owner: "u0", Fence: 12})
+			h.calls = nil
+			h.assign(assignment.Ownership{Unit: unitOf(0), Owner: "u9", Fence: 13, Previous: []fleet.UpstreamID{"u0"}})
+			if kinds := h.takeCallKinds(); len(kinds) > 0 {
+				h.tb.Errorf("control calls while the grant call is pending: %v", kinds)
 			}
-			r.endCalls()
-			r.run(30 * time.Millisecond)
-			r.expectReleased(13, true)
+			h.failHeldCalls()
+			h.run(30 * time.Millisecond)
+			h.expectReleased(13, true)
 		}},
-		"lost request holds its slot until the upstream noticed": {
+		"lost request occupies its slot until the upstream detects the closed connection": {
 			change: func(d *dispatch.Duty) { d.Slots, d.ColdSlots = 1, 1 },
-			do: func(r *rig) {
-				r.done(r.submit("a", false, time.Second), 1, dispatch.Lost)
-				r.submit("a", false, time.Second)
-				r.run(90 * time.Millisecond)
-				r.expect("send r1/1 fresh=false", "refuse r1 connection-lost")
-				r.run(10 * time.Millisecond)
-				r.expect("send r2/1 fresh=false")
+			do: func(h *harness) {
+				h.done(h.submit("a", false, time.Second), 1, dispatch.Lost)
+				h.submit("a", false, time.Second)
+				h.run(90 * time.Millisecond)
+				h.expectActions("send r1/1 fresh=false", "refuse r1 connection-lost")
+				h.run(10 * time.Millisecond)
+				h.expectActions("send r2/1 fresh=false")
 			},
 		},
-		"no authority": {do: func(r *rig) {
-			r.exec(r.table.Tick(r.now, r.now))
-			r.submit("a", false, time.Second)
-			r.expect("refuse r1 no-authority")
+		"no authority": {do: func(h *harness) {
+			h.execute(h.table.Tick(h.now, h.now))
+			h.submit("a", false, time.Second)
+			h.expectActions("refuse r1 no-authority")
 		}},
-		"rebooted upstream is cold and granted again": {
+		"restarted upstream is cold and granted again": {
 			change: func(d *dispatch.Duty) { d.ColdSlots = 1 },
-			do: func(r *rig) {
-				r.boot, r.calls = "b2", nil
-				r.run(250 * time.Millisecond)
-				if kinds := r.kinds(); !slices.Contains(kinds, dispatch.Hello) || !slices.Contains(kinds, dispatch.GrantUnits) {
-					r.tb.Errorf("calls after the reboot: %v", kinds)
+			do: func(h *harness) {
+				h.boot, h.calls = "b2", nil
+				h.run(250 * time.Millisecond)
+				if kinds := h.takeCallKinds(); !slices.Contains(kinds, dispatch.Hello) || !slices.Contains(kinds, dispatch.GrantUnits) {
+					h.tb.Errorf("control calls after the restart: %v", kinds)
 				}
-				r.submit("a", false, time.Second)
-				r.submit("a", false, time.Second)
-				r.expect("send r1/1 fresh=false")
+				h.submit("a", false, time.Second)
+				h.submit("a", false, time.Second)
+				h.expectActions("send r1/1 fresh=false")
 			},
 		},
-		"account at several times its rate delays only itself": {
+		"account with many queued requests delays only itself": {
 			change: func(d *dispatch.Duty) { d.Slots, d.ColdSlots = 1, 1 },
-			do: func(r *rig) {
+			do: func(h *harness) {
 				for range 4 {
-					r.submit("big", false, time.Second)
+					h.submit("big", false, time.Second)
 				}
-				r.submit("small", false, time.Second)
-				r.done("r1", 1, dispatch.Answered)
-				r.done("r2", 1, dispatch.Answered)
-				r.expect("send r1/1 fresh=false", "answer r1/1", "send r2/1 fresh=false", "answer r2/1", "send r5/1 fresh=false")
+				h.submit("small", false, time.Second)
+				h.done("r1", 1, dispatch.Answered)
+				h.done("r2", 1, dispatch.Answered)
+				h.expectActions("send r1/1 fresh=false", "answer r1/1", "send r2/1 fresh=false", "answer r2/1", "send r5/1 fresh=false")
 			},
 		},
-		"wait past the deadline is refused at once": {
+		"request that would wait past its deadline is refused at once": {
 			change: func(d *dispatch.Duty) { d.Slots, d.ColdSlots = 1, 1 },
-			do: func(r *rig) {
-				id := r.submit("a", false, time.Second)
-				r.run(100 * time.Millisecond)
-				r.done(id, 1, dispatch.Answered)
-				r.submit("a", false, time.Second)
-				r.submit("a", false, time.Second)
-				r.submit("a", false, 150*time.Millisecond)
-				r.expect("send r1/1 fresh=false", "answer r1/1", "send r2/1 fresh=false", "refuse r4 overloaded")
+			do: func(h *harness) {
+				id := h.submit("a", false, time.Second)
+				h.run(100 * time.Millisecond)
+				h.done(id, 1, dispatch.Answered)
+				h.submit("a", false, time.Second)
+				h.submit("a", false, time.Second)
+				h.submit("a", false, 150*time.Millisecond)
+				h.expectActions("send r1/1 fresh=false", "answer r1/1", "send r2/1 fresh=false", "refuse r4 overloaded")
 			},
 		},
-		"lost non-idempotent request is not repeated": {do: func(r *rig) {
-			r.earn(1)
-			r.done(r.submit("a", false, time.Second), 1, dispatch.Lost)
-			r.expect("send r1/1 fresh=false", "refuse r1 connection-lost")
+		"lost non-idempotent request is not retried": {do: func(h *harness) {
+			h.fillRetryBudget(1)
+			h.done(h.submit("a", false, time.Second), 1, dispatch.Lost)
+			h.expectActions("send r1/1 fresh=false", "refuse r1 connection-lost")
 		}},
-		"unsent non-idempotent request is repeated": {do: func(r *rig) {
-			r.earn(1)
-			r.done(r.submit("a", false, time.Second), 1, dispatch.NotSent)
-			r.expect("send r1/1 fresh=false", "send r1/2 fresh=true")
+		"unsent non-idempotent request is retried": {do: func(h *harness) {
+			h.fillRetryBudget(1)
+			h.done(h.submit("a", false, time.Second), 1, dispatch.NotSent)
+			h.expectActions("send r1/1 fresh=false", "send r1/2 fresh=true")
 		}},
-		"no retry without budget": {do: func(r *rig) {
-			r.done(r.submit("a", true, time.Second), 1, dispatch.Shed)
-			r.expect("send r1/1 fresh=false", "refuse r1 overloaded")
+		"no retry without budget": {do: func(h *harness) {
+			h.done(h.submit("a", true, time.Second), 1, dispatch.Shed)
+			h.expectActions("send r1/1 fresh=false", "refuse r1 overloaded")
 		}},
-		"lost then refused is unknown": {do: func(r *rig) {
-			r.earn(1)
-			id := r.submit("a", true, time.Second)
-			r.done(id, 1, dispatch.Lost)
-			r.done(id, 2, dispatch.Shed)
-			r.expect("send r1/1 fresh=false", "send r1/2 fresh=true", "refuse r1 connection-lost")
+		"outcome is unknown after a lost attempt and a refused one": {do: func(h *harness) {
+			h.fillRetryBudget(1)
+			id := h.submit("a", true, time.Second)
+			h.done(id, 1, dispatch.Lost)
+			h.done(id, 2, dispatch.Shed)
+			h.expectActions("send r1/1 fresh=false", "send r1/2 fresh=true", "refuse r1 connection-lost")
 		}},
-		"silent idempotent request gets a second connection": {do: func(r *rig) {
-			r.earn(1)
-			id := r.submit("a", true, time.Second)
-			r.run(150 * time.Millisecond)
-			r.done(id, 2, dispatch.Answered)
-			r.expect("send r1/1 fresh=false", "send r1/2 fresh=true", "answer r1/2", "cancel r1/1")
+		"slow idempotent request is hedged on a new connection": {do: func(h *harness) {
+			h.fillRetryBudget(1)
+			id := h.submit("a", true, time.Second)
+			h.run(150 * time.Millisecond)
+			h.done(id, 2, dispatch.Answered)
+			h.expectActions("send r1/1 fresh=false", "send r1/2 fresh=true", "answer r1/2", "cancel r1/1")
 		}},
-		"stale grant is repaired": {do: func(r *rig) {
-			r.earn(1)
-			r.calls = nil
-			r.done(r.submit("a", false, time.Second), 1, dispatch.Stale)
-			if len(r.calls) != 1 || r.calls[0].Kind != dispatch.GrantUnits {
-				r.tb.Errorf("calls %v", r.calls)
+		"unit is granted again after a stale refusal": {do: func(h *harness) {
+			h.fillRetryBudget(1)
+			h.calls = nil
+			h.done(h.submit("a", false, time.Second), 1, dispatch.Stale)
+			if len(h.calls) != 1 || h.calls[0].Kind != dispatch.GrantUnits {
+				h.tb.Errorf("control calls %v, want one grant", h.calls)
 			}
-			r.expect("send r1/1 fresh=false", "send r1/2 fresh=false")
+			h.expectActions("send r1/1 fresh=false", "send r1/2 fresh=false")
 		}},
-		"leaving upstream gets nothing after the grace": {do: func(r *rig) {
-			r.duty.Leaving = true
-			r.assign(r.duty.Units...)
-			r.submit("a", false, time.Second)
-			r.run(2600 * time.Millisecond)
-			r.submit("a", false, time.Second)
-			r.expect("send r1/1 fresh=false", "refuse r2 out-of-service")
+		"leaving upstream gets no requests after the grace period": {do: func(h *harness) {
+			h.duty.Leaving = true
+			h.assign(h.duty.Units...)
+			h.submit("a", false, time.Second)
+			h.run(2600 * time.Millisecond)
+			h.submit("a", false, time.Second)
+			h.expectActions("send r1/1 fresh=false", "refuse r2 out-of-service")
 		}},
-		"warming takes work and time": {
+		"limit grows after successes and busy time": {
 			change: func(d *dispatch.Duty) { d.ColdSlots, d.WarmTime = 1, 750*time.Millisecond },
-			do: func(r *rig) {
-				r.earn(10) // 100 successes within no time
-				if got := r.table.Reports(r.now)["u0"].Limit; got != 1 {
-					r.tb.Errorf("limit %d after no time", got)
+			do: func(h *harness) {
+				h.fillRetryBudget(10) // 100 successes without busy time
+				if got := h.table.Reports(h.now)["u0"].Limit; got != 1 {
+					h.tb.Errorf("limit %d after 100 responses without busy time, want 1", got)
 				}
-				id := r.submit("a", false, time.Second)
-				r.run(510 * time.Millisecond)
-				r.done(id, 1, dispatch.Answered)
-				if got := r.table.Reports(r.now)["u0"].Limit; got != 2 {
-					r.tb.Errorf("limit %d after a step of work", got)
+				id := h.submit("a", false, time.Second)
+				h.run(510 * time.Millisecond)
+				h.done(id, 1, dispatch.Answered)
+				if got := h.table.Reports(h.now)["u0"].Limit; got != 2 {
+					h.tb.Errorf("limit %d after the busy time of one step, want 2", got)
 				}
-				r.actions = nil
+				h.actions = nil
 			},
 		},
-		"hot key is reported": {do: func(r *rig) {
-			r.earn(10)
-			r.run(time.Second)
-			if hot := r.table.Reports(r.now)["u0"].Hot; len(hot) != 1 || hot[0].Key != "k" || hot[0].Rate < 99 {
-				r.tb.Errorf("hot keys %v", hot)
+		"hot key is reported": {do: func(h *harness) {
+			h.fillRetryBudget(10)
+			h.run(time.Second)
+			if hot := h.table.Reports(h.now)["u0"].Hot; len(hot) != 1 || hot[0].Key != "k" || hot[0].Rate < 99 {
+				h.tb.Errorf("hot keys %v", hot)
 			}
 		}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, !tt.unfenced, tt.change)
-			tt.do(r)
-			r.expect()
+			h := newHarness(t, !tt.unfenced, tt.change)
+			tt.do(h)
+			h.expectActions()
 		})
 	}
 }
 
-// BenchmarkSubmitDone measures a request from Submit to the end of Done.
+// BenchmarkSubmitDone measures Submit and Done of one request.
 func BenchmarkSubmitDone(b *testing.B) {
-	r := newRig(b, true, nil)
-	until := r.now.Add(time.Hour)
-	r.table.Tick(r.now, until)
+	h := newHarness(b, true, nil)
+	until := h.now.Add(time.Hour)
+	h.table.Tick(h.now, until)
 	ids := make([]fleet.RequestID, 1024)
 	for i := range ids {
 		ids[i] = fleet.RequestID(fmt.Sprintf("r%d", i))
 	}
-	req := dispatch.Request{Account: "a", Unit: unitOf(0), Key: "k", Upstream: "u0", Deadline: r.now.Add(time.Second)}
+	req := dispatch.Request{Account: "a", Unit: unitOf(0), Key: "k", Upstream: "u0", Deadline: h.now.Add(time.Second)}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		req.ID = ids[i%len(ids)]
-		r.table.Submit(r.now, req)
-		r.table.Done(r.now, req.ID, 1, dispatch.Result{Kind: dispatch.Answered, Status: 200, Boot: "b1"})
+		h.table.Submit(h.now, req)
+		h.table.Done(h.now, req.ID, 1, dispatch.Result{Kind: dispatch.Answered, Status: 200, Boot: "b1"})
 	}
 }
 
-// Guards against more concurrent work at a cold upstream than it handles after a
-// takeover: the requests of the previous dispatcher still run there.
+// TestTakeoverCountsRunningRequests guards against exceeding the concurrency limit of
+// a cold upstream after a takeover, while requests of the previous dispatcher still
+// run there.
 func TestTakeoverCountsRunningRequests(t *testing.T) {
-	r := newRig(t, true, func(d *dispatch.Duty) { d.Slots, d.ColdSlots = 4, 2 })
-	r.running = 1
-	r.run(300 * time.Millisecond)
-	r.submit("a", true, time.Second)
-	r.submit("a", true, time.Second)
-	r.expect("send r1/1 fresh=false")
-	r.running = 0
-	r.run(300 * time.Millisecond)
-	r.expect("send r2/1 fresh=false")
+	h := newHarness(t, true, func(d *dispatch.Duty) { d.Slots, d.ColdSlots = 4, 2 })
+	h.running = 1
+	h.run(300 * time.Millisecond)
+	h.submit("a", true, time.Second)
+	h.submit("a", true, time.Second)
+	h.expectActions("send r1/1 fresh=false")
+	h.running = 0
+	h.run(300 * time.Millisecond)
+	h.expectActions("send r2/1 fresh=false")
 }
 
-// Guards against a warm upstream that is treated as cold because its dispatcher
-// changed, and against a restarted one that is treated as warm.
+// TestTakeoverKeepsWarmth guards against treating a warm upstream as cold because its
+// dispatcher changed, and a restarted one as warm.
 func TestTakeoverKeepsWarmth(t *testing.T) {
 	for boot, want := range map[fleet.BootID]fleet.Slots{"b1": 4, "b0": 2} {
-		r := newRig(t, true, func(d *dispatch.Duty) {
+		h := newHarness(t, true, func(d *dispatch.Duty) {
 			d.Slots, d.ColdSlots, d.Last = 6, 2, dispatch.Warmth{Boot: boot, Limit: 4}
 		})
-		r.run(50 * time.Millisecond)
-		if diff := cmp.Diff(want, r.table.Reports(r.now)["u0"].Limit); diff != "" {
+		h.run(50 * time.Millisecond)
+		if diff := cmp.Diff(want, h.table.Reports(h.now)["u0"].Limit); diff != "" {
 			t.Errorf("last known boot %s: %s", boot, diff)
 		}
 	}
