--- a/internal/limit/holder.go
+++ b/internal/limit/holder.go
@@ -8,65 +8,70 @@
 )
 
 const (
-	// leaseTTL bounds how long a call counts as in flight; it is at least the TTL
-	// of every lease, after which an answer would be worthless.
-	leaseTTL = 500 * time.Millisecond
-	// ahead is the demand that a holder keeps tokens for.
-	ahead = 50 * time.Millisecond
-	// returnAfter is the age at which a lease is closed with what is left of it.
-	// Tokens for 50 ms that last three times as long exceed the demand.
-	returnAfter = 150 * time.Millisecond
-	// maxCloseDelay bounds how long a spent lease occupies the bucket for the sake
-	// of fewer calls.
+	// callTimeout is how long a call counts as in flight. It is at least the TTL of
+	// every lease, since a lease that arrives after its TTL cannot be used.
+	callTimeout = 500 * time.Millisecond
+	// prefetchWindow is the time for whose expected demand a holder keeps tokens.
+	prefetchWindow = 50 * time.Millisecond
+	// maxLeaseAge is the age at which a lease is closed and its unused tokens are
+	// returned. Tokens for 50 ms that last three times as long exceed the demand.
+	maxLeaseAge = 150 * time.Millisecond
+	// maxCloseDelay bounds how long the close of a spent lease is delayed to save
+	// calls. Its tokens stay outstanding until then.
 	maxCloseDelay = 50 * time.Millisecond
-	// maxRefusal bounds how long a refusal is repeated without asking the home,
-	// because returned tokens can end the shortage early.
-	maxRefusal = 100 * time.Millisecond
-	// againAfter separates calls that the home did not answer with a refusal.
-	againAfter = 5 * time.Millisecond
-	// patience is how long requests wait for a home that does not answer. Another
-	// home takes over about 2 s after a loss, and a request that is served late is
-	// worth more than one that is refused inside its rate.
-	patience = 2500 * time.Millisecond
-	// probeAfter separates calls to such a home after that.
-	probeAfter = 50 * time.Millisecond
-	// unavailableRetry is the advice when the home does not answer.
-	unavailableRetry = time.Second
-	// forgetAfter removes limits that no request names.
-	forgetAfter = 10 * time.Second
-
-	// Time constants of the two demand averages; the larger average counts. The
-	// fast one follows load that moves to this holder, the slow one bridges the
-	// gaps at low rates.
-	fastDemand = 50 * time.Millisecond
-	slowDemand = 500 * time.Millisecond
-	// minDemand is the expected number of requests within ahead from which a token
-	// is kept.
-	minDemand = 0.1
+	// maxCachedRefusal bounds how long requests are refused without a new call to the
+	// home, because returned tokens can become available before the refill.
+	maxCachedRefusal = 100 * time.Millisecond
+	// callRetryInterval is the delay before a call is repeated that failed, or that
+	// returned no tokens for waiting requests and no RetryAfter.
+	callRetryInterval = 5 * time.Millisecond
+	// homeTimeout is how long requests wait for a home that does not answer. A new
+	// home takes over about 2 s after a loss, and serving a request late is better
+	// than refusing one that is within its rate.
+	homeTimeout = 2500 * time.Millisecond
+	// probeInterval is the interval of calls to a home that has not answered for
+	// homeTimeout.
+	probeInterval = 50 * time.Millisecond
+	// unavailableRetryAfter is the RetryAfter of refusals because the home does not
+	// answer.
+	unavailableRetryAfter = time.Second
+	// idleTimeout is the time after which the state of a limit without requests is
+	// removed.
+	idleTimeout = 10 * time.Second
+
+	// fastTimeConstant and slowTimeConstant are the time constants of two exponential
+	// moving averages of the demand, of which the larger one is used. The fast one
+	// follows load that shifts to this holder; the slow one bridges the gaps between
+	// requests at low rates.
+	fastTimeConstant = 50 * time.Millisecond
+	slowTimeConstant = 500 * time.Millisecond
+	// minPrefetchDemand is the smallest expected number of requests within
+	// prefetchWindow for which a token is kept.
+	minPrefetchDemand = 0.1
 )
 
-// Bounded is a limit that a request is subject to.
+// Bounded is a limit that applies to a request.
 type Bounded struct {
 	ID    fleet.LimitID
 	Limit fleet.Limit
 }
 
-// Decision is one of Admitted, Need and Refused.
+// Decision is the result of Holder.Admit: Admitted, Need or Refused.
 type Decision interface{ decision() }
 
-// Admitted means that a token of every limit has been spent.
+// Admitted means that the request may run and one token of every limit was spent.
 type Admitted struct{}
 
-// Need means that tokens are missing and none was spent. The user makes the calls,
-// ends each with Add or Fail, and admits the request again when a call for one of
-// the limits in Waits has ended. Calls is empty if calls in flight or the next Tick
-// cover the need.
+// Need means that tokens are missing and none was spent. The user makes the calls and
+// reports the end of each with Add or Fail. It calls Admit for the request again when
+// a call for one of the limits in Waits has ended. Calls is empty if calls in flight
+// or those of the next Tick request the tokens.
 type Need struct {
 	Waits []fleet.LimitID
 	Calls []Call
 }
 
-// Refused means that the request must be refused for Reason: rate-limited or
+// Refused means that the request must be refused. Reason is rate-limited or
 // limit-unavailable.
 type Refused struct {
 	Limit      fleet.LimitID
@@ -78,46 +83,46 @@
 func (Need) decision()     {}
 func (Refused) decision()  {}
 
-// Holder keeps the token leases of this instance.
+// Holder keeps the token leases of an instance.
 type Holder struct {
-	purses map[fleet.LimitID]*purse
+	limits map[fleet.LimitID]*limitState
 }
 
-// NewHolder returns a holder without leases.
-func NewHolder() *Holder { return &Holder{purses: make(map[fleet.LimitID]*purse)} }
+// NewHolder returns a holder that has no leases.
+func NewHolder() *Holder { return &Holder{limits: make(map[fleet.LimitID]*limitState)} }
 
-// Admit spends a token of every limit, or of none.
+// Admit spends one token of every limit, or no token at all.
 func (h *Holder) Admit(now time.Time, limits []Bounded) Decision {
 	missing := false
 	for _, b := range limits {
 		if b.Limit.Unlimited() {
 			continue
 		}
-		p := h.purse(b.ID)
-		p.limit, p.asked = b.Limit, now
-		p.expire(now)
-		if p.left == 0 {
+		s := h.state(b.ID)
+		s.limit, s.lastAdmit = b.Limit, now
+		s.dropExpired(now)
+		if s.tokens == 0 {
 			missing = true
 		}
 	}
 	if missing {
-		return h.need(now, limits)
+		return h.needOrRefuse(now, limits)
 	}
 	for _, b := range limits {
 		if !b.Limit.Unlimited() {
-			h.purses[b.ID].spend()
+			h.limits[b.ID].spendToken()
 		}
 	}
 	return Admitted{}
 }
 
-func (h *Holder) need(now time.Time, limits []Bounded) Decision {
+func (h *Holder) needOrRefuse(now time.Time, limits []Bounded) Decision {
 	var refused Refused
 	for _, b := range limits {
 		if b.Limit.Unlimited() {
 			continue
 		}
-		if r, ok := h.purses[b.ID].refuse(now, b.ID); ok && r.RetryAfter >= refused.RetryAfter {
+		if r, ok := h.limits[b.ID].cachedRefusal(now, b.ID); ok && r.RetryAfter >= refused.RetryAfter {
 			refused = r
 		}
 	}
@@ -126,59 +131,59 @@
 	}
 	var n Need
 	for _, b := range limits {
-		p := h.purses[b.ID]
-		if b.Limit.Unlimited() || p.left > 0 {
+		s := h.limits[b.ID]
+		if b.Limit.Unlimited() || s.tokens > 0 {
 			continue
 		}
-		p.waiting++
+		s.waiting++
 		n.Waits = append(n.Waits, b.ID)
-		if !p.inFlight(now) && !now.Before(p.callAt) {
-			n.Calls = append(n.Calls, p.call(now, b.ID))
+		if !s.inFlight(now) && !now.Before(s.nextCall) {
+			n.Calls = append(n.Calls, s.startCall(now, b.ID))
 		}
 	}
 	return n
 }
 
-// Add ends a call that was sent at the given time with the home's answer.
+// Add reports the home's answer to the call that was sent at the given time.
 func (h *Holder) Add(sent time.Time, id fleet.LimitID, l Lease) {
-	p := h.purse(id)
+	s := h.state(id)
 	if l.TTL == 0 {
-		p.fail(sent)
+		s.callFailed(sent)
 		return
 	}
-	p.ended(sent)
-	p.failing = time.Time{}
-	wanted := p.asking
+	s.callEnded(sent)
+	s.failingSince = time.Time{}
+	requested := s.requested
 	if l.Granted > 0 {
-		p.leases = append(p.leases, lease{id: l.ID, left: l.Granted, sent: sent, end: sent.Add(l.TTL)})
-		p.left += l.Granted
+		s.leases = append(s.leases, lease{id: l.ID, tokens: l.Granted, sent: sent, expiry: sent.Add(l.TTL)})
+		s.tokens += l.Granted
 	}
 	switch {
 	case l.RetryAfter > 0:
-		p.refuseUntil = sent.Add(min(l.RetryAfter, maxRefusal))
-		p.retryAt = sent.Add(l.RetryAfter)
-	case l.Granted == 0 && wanted > 0:
-		p.callAt = sent.Add(againAfter)
+		s.refuseUntil = sent.Add(min(l.RetryAfter, maxCachedRefusal))
+		s.retryAt = sent.Add(l.RetryAfter)
+	case l.Granted == 0 && requested > 0:
+		s.nextCall = sent.Add(callRetryInterval)
 	case l.Granted == 0:
-		p.spareAt = sent.Add(ahead)
+		s.nextSpareCall = sent.Add(prefetchWindow)
 	}
 }
 
-// Fail ends a call without an answer.
-func (h *Holder) Fail(sent time.Time, id fleet.LimitID) { h.purse(id).fail(sent) }
+// Fail reports that the call sent at the given time ended without an answer.
+func (h *Holder) Fail(sent time.Time, id fleet.LimitID) { h.state(id).callFailed(sent) }
 
-// Tick returns the calls that fetch tokens ahead, ask again for waiting requests and
-// close leases. It is due every 10 ms.
+// Tick returns the calls that prefetch tokens, request tokens for waiting requests
+// again, and close leases. The user must call it every 10 ms.
 func (h *Holder) Tick(now time.Time) []Call {
 	var calls []Call
-	for id, p := range h.purses {
-		p.expire(now)
-		p.measure(now)
-		if p.due(now) {
-			calls = append(calls, p.call(now, id))
+	for id, s := range h.limits {
+		s.dropExpired(now)
+		s.updateDemand(now)
+		if s.callDue(now) {
+			calls = append(calls, s.startCall(now, id))
 		}
-		if now.Sub(p.asked) > forgetAfter && len(p.leases) == 0 && !p.inFlight(now) {
-			delete(h.purses, id)
+		if now.Sub(s.lastAdmit) > idleTimeout && len(s.leases) == 0 && !s.inFlight(now) {
+			delete(h.limits, id)
 		}
 	}
 	return calls
@@ -186,187 +191,191 @@
 
 // Held returns the number of unspent tokens of the limit.
 func (h *Holder) Held(now time.Time, id fleet.LimitID) fleet.Tokens {
-	p, ok := h.purses[id]
+	s, ok := h.limits[id]
 	if !ok {
 		return 0
 	}
-	p.expire(now)
-	return p.left
+	s.dropExpired(now)
+	return s.tokens
 }
 
-func (h *Holder) purse(id fleet.LimitID) *purse {
-	p, ok := h.purses[id]
+func (h *Holder) state(id fleet.LimitID) *limitState {
+	s, ok := h.limits[id]
 	if !ok {
-		p = &purse{}
-		h.purses[id] = p
+		s = &limitState{}
+		h.limits[id] = s
 	}
-	return p
+	return s
 }
 
-// lease is what is left of a lease of the home.
+// lease is a lease from the home with its unspent tokens.
 type lease struct {
-	id        LeaseID
-	left      fleet.Tokens
-	sent, end time.Time
+	id           LeaseID
+	tokens       fleet.Tokens
+	sent, expiry time.Time
 }
 
-// purse holds the leases of one limit.
-type purse struct {
-	limit  fleet.Limit
-	asked  time.Time // last Admit
-	leases []lease   // in order of arrival; the first with tokens is spent first
-	left   fleet.Tokens
-
-	closed     []Closed
-	closedFrom time.Time // the first close is due from this time
-
-	waiting  fleet.Tokens // requests told to wait since the last call
-	asking   fleet.Tokens // Waiting of the call in flight
-	flying   bool
-	sent     time.Time // of the call in flight
-	callAt   time.Time // no call for waiting requests before
-	spareAt  time.Time // no call for spare tokens alone before
-	failing  time.Time // first of the calls that failed without a success since
-	measured time.Time
-	spent    int // since measured
-	fast     float64
-	slow     float64 // requests per second
+// limitState is the state of one limit: its leases, the call in flight and the demand.
+type limitState struct {
+	limit     fleet.Limit
+	lastAdmit time.Time    // time of the last Admit
+	leases    []lease      // in order of arrival and of spending; none is empty
+	tokens    fleet.Tokens // unspent tokens of all leases
+
+	pendingCloses []Closed
+	closeDue      time.Time // when to send pendingCloses; zero: not set
+
+	waiting       fleet.Tokens // requests that got Need since the last call
+	requested     fleet.Tokens // Call.Waiting of the call in flight
+	calling       bool         // a call has not ended
+	sent          time.Time    // when the call in flight was sent
+	nextCall      time.Time    // earliest time of the next call for waiting requests
+	nextSpareCall time.Time    // earliest time of the next call for spare tokens alone
+	failingSince  time.Time    // sending of the first failed call since the last answer; zero: none
+	measuredAt    time.Time    // when fastRate and slowRate were updated
+	spent         int          // tokens spent since measuredAt
+	fastRate      float64      // requests/s
+	slowRate      float64      // requests/s
 
 	refuseUntil, retryAt time.Time
 }
 
-// expire drops leases that have ended. They are not reported: the home drops them
-// by itself.
-func (p *purse) expire(now time.Time) {
-	if len(p.leases) == 0 {
+// dropExpired removes expired leases. They are not reported to the home, which expires
+// them by itself.
+func (s *limitState) dropExpired(now time.Time) {
+	if len(s.leases) == 0 {
 		return
 	}
-	kept := p.leases[:0]
-	for _, l := range p.leases {
-		if now.Before(l.end) {
+	kept := s.leases[:0]
+	for _, l := range s.leases {
+		if now.Before(l.expiry) {
 			kept = append(kept, l)
 		} else {
-			p.left -= l.left
+			s.tokens -= l.tokens
 		}
 	}
-	p.leases = kept
+	s.leases = kept
 }
 
-func (p *purse) spend() {
-	l := &p.leases[0]
-	l.left--
-	p.left--
-	p.spent++
-	if l.left == 0 {
-		p.closed = append(p.closed, Closed{Lease: l.id})
-		p.leases = p.leases[1:]
+func (s *limitState) spendToken() {
+	l := &s.leases[0]
+	l.tokens--
+	s.tokens--
+	s.spent++
+	if l.tokens == 0 {
+		s.pendingCloses = append(s.pendingCloses, Closed{Lease: l.id})
+		s.leases = s.leases[1:]
 	}
 }
 
-func (p *purse) refuse(now time.Time, id fleet.LimitID) (Refused, bool) {
-	if p.left > 0 {
+// cachedRefusal returns the refusal that still holds without a new call to the home,
+// if there is one.
+func (s *limitState) cachedRefusal(now time.Time, id fleet.LimitID) (Refused, bool) {
+	if s.tokens > 0 {
 		return Refused{}, false
 	}
-	if !p.failing.IsZero() && now.Sub(p.failing) >= patience {
-		return Refused{Limit: id, Reason: fleet.ReasonLimitUnavailable, RetryAfter: unavailableRetry}, true
+	if !s.failingSince.IsZero() && now.Sub(s.failingSince) >= homeTimeout {
+		return Refused{Limit: id, Reason: fleet.ReasonLimitUnavailable, RetryAfter: unavailableRetryAfter}, true
 	}
-	if now.Before(p.refuseUntil) {
-		return Refused{Limit: id, Reason: fleet.ReasonRateLimited, RetryAfter: p.retryAt.Sub(now)}, true
+	if now.Before(s.refuseUntil) {
+		return Refused{Limit: id, Reason: fleet.ReasonRateLimited, RetryAfter: s.retryAt.Sub(now)}, true
 	}
 	return Refused{}, false
 }
 
-func (p *purse) inFlight(now time.Time) bool { return p.flying && now.Sub(p.sent) < leaseTTL }
+func (s *limitState) inFlight(now time.Time) bool { return s.calling && now.Sub(s.sent) < callTimeout }
 
-// ended ignores the end of a call that no longer counts as in flight.
-func (p *purse) ended(sent time.Time) {
-	if p.flying && p.sent.Equal(sent) {
-		p.flying = false
+// callEnded records the end of the call in flight. It ignores the end of an earlier
+// call, which counted as timed out.
+func (s *limitState) callEnded(sent time.Time) {
+	if s.calling && s.sent.Equal(sent) {
+		s.calling = false
 	}
 }
 
-func (p *purse) fail(sent time.Time) {
-	p.ended(sent)
-	if p.failing.IsZero() {
-		p.failing = sent
+func (s *limitState) callFailed(sent time.Time) {
+	s.callEnded(sent)
+	if s.failingSince.IsZero() {
+		s.failingSince = sent
 	}
-	p.callAt = sent.Add(againAfter)
-	if sent.Sub(p.failing) >= patience {
-		p.callAt = sent.Add(probeAfter)
+	s.nextCall = sent.Add(callRetryInterval)
+	if sent.Sub(s.failingSince) >= homeTimeout {
+		s.nextCall = sent.Add(probeInterval)
 	}
 }
 
-// due reports whether a call is to be made without a request that waits now.
-func (p *purse) due(now time.Time) bool {
-	if p.inFlight(now) {
+// callDue reports whether Tick must make a call.
+func (s *limitState) callDue(now time.Time) bool {
+	if s.inFlight(now) {
 		return false
 	}
-	if !p.failing.IsZero() || p.waiting > 0 {
-		return !now.Before(p.callAt)
+	if !s.failingSince.IsZero() || s.waiting > 0 {
+		return !now.Before(s.nextCall)
 	}
-	if len(p.leases) > 0 && now.Sub(p.leases[0].sent) >= returnAfter {
+	if len(s.leases) > 0 && now.Sub(s.leases[0].sent) >= maxLeaseAge {
 		return true
 	}
-	if n := p.target(); n > 0 && p.left <= n/2 && !now.Before(p.spareAt) {
+	if n := s.targetTokens(); n > 0 && s.tokens <= n/2 && !now.Before(s.nextSpareCall) {
 		return true
 	}
-	if len(p.closed) == 0 {
+	if len(s.pendingCloses) == 0 {
 		return false
 	}
-	if p.closedFrom.IsZero() {
-		p.closedFrom = now.Add(p.closeDelay())
+	if s.closeDue.IsZero() {
+		s.closeDue = now.Add(s.closeDelay())
 	}
-	return !now.Before(p.closedFrom)
+	return !now.Before(s.closeDue)
 }
 
-// closeDelay is a quarter of the time in which the bucket fills, so that spent
-// leases never occupy much of a small one.
-func (p *purse) closeDelay() time.Duration {
-	if p.limit.Rate <= 0 {
+// closeDelay returns a quarter of the time in which the bucket fills, at most
+// maxCloseDelay, so that spent leases count only briefly against a small burst.
+func (s *limitState) closeDelay() time.Duration {
+	if s.limit.Rate <= 0 {
 		return 0
 	}
-	fill := float64(p.limit.Burst) / float64(p.limit.Rate) * float64(time.Second)
+	fill := float64(s.limit.Burst) / float64(s.limit.Rate) * float64(time.Second)
 	return time.Duration(min(fill/4, float64(maxCloseDelay)))
 }
 
-// call starts a call for everything that is due.
-func (p *purse) call(now time.Time, id fleet.LimitID) Call {
-	for len(p.leases) > 0 && now.Sub(p.leases[0].sent) >= returnAfter {
-		l := p.leases[0]
-		p.closed = append(p.closed, Closed{Lease: l.id, Unused: l.left})
-		p.left -= l.left
-		p.leases = p.leases[1:]
-	}
-	c := Call{ID: id, Waiting: p.waiting, Closed: p.closed}
-	if n := max(p.target(), p.waiting); p.left <= n/2 {
-		c.Spare = n - p.left
-	}
-	p.asking, p.waiting = p.waiting, 0
-	p.closed, p.closedFrom = nil, time.Time{}
-	p.flying, p.sent = true, now
+// startCall returns a call that requests all tokens needed now, and closes spent
+// leases and those older than maxLeaseAge.
+func (s *limitState) startCall(now time.Time, id fleet.LimitID) Call {
+	for len(s.leases) > 0 && now.Sub(s.leases[0].sent) >= maxLeaseAge {
+		l := s.leases[0]
+		s.pendingCloses = append(s.pendingCloses, Closed{Lease: l.id, Unused: l.tokens})
+		s.tokens -= l.tokens
+		s.leases = s.leases[1:]
+	}
+	c := Call{ID: id, Waiting: s.waiting, Closed: s.pendingCloses}
+	if n := max(s.targetTokens(), s.waiting); s.tokens <= n/2 {
+		c.Spare = n - s.tokens
+	}
+	s.requested, s.waiting = s.waiting, 0
+	s.pendingCloses, s.closeDue = nil, time.Time{}
+	s.calling, s.sent = true, now
 	return c
 }
 
-// measure brings the demand averages up to now.
-func (p *purse) measure(now time.Time) {
-	d := now.Sub(p.measured)
-	if p.measured.IsZero() {
-		p.measured = now
+// updateDemand updates the moving averages of the demand to the given time.
+func (s *limitState) updateDemand(now time.Time) {
+	d := now.Sub(s.measuredAt)
+	if s.measuredAt.IsZero() {
+		s.measuredAt = now
 		return
 	}
 	if d <= 0 {
 		return
 	}
-	rate := float64(p.spent) / d.Seconds()
-	p.fast += (rate - p.fast) * (1 - math.Exp(-float64(d)/float64(fastDemand)))
-	p.slow += (rate - p.slow) * (1 - math.Exp(-float64(d)/float64(slowDemand)))
-	p.measured, p.spent = now, 0
+	rate := float64(s.spent) / d.Seconds()
+	s.fastRate += (rate - s.fastRate) * (1 - math.Exp(-float64(d)/float64(fastTimeConstant)))
+	s.slowRate += (rate - s.slowRate) * (1 - math.Exp(-float64(d)/float64(slowTimeConstant)))
+	s.measuredAt, s.spent = now, 0
 }
 
-// target is the number of tokens to hold.
-func (p *purse) target() fleet.Tokens {
-	n := max(p.fast, p.slow) * ahead.Seconds()
-	if n < minDemand {
+// targetTokens returns the number of tokens to hold for the expected demand.
+func (s *limitState) targetTokens() fleet.Tokens {
+	n := max(s.fastRate, s.slowRate) * prefetchWindow.Seconds()
+	if n < minPrefetchDemand {
 		return 0
 	}
 	return fleet.Tokens(math.Ceil(n))
--- a/internal/limit/home.go
+++ b/internal/limit/home.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// minRetryAfter bounds the calls of holders whose limit is used up.
+	// minRetryAfter bounds the rate of calls from holders while no tokens are
+	// available.
 	minRetryAfter = 10 * time.Millisecond
-	// maxRetryAfter is the advice where no token is ever refilled.
+	// maxRetryAfter is the largest RetryAfter, also if the bucket is never refilled.
 	maxRetryAfter = time.Hour
 )
 
-// Home keeps the token buckets of the limits whose home this instance is.
+// Home keeps the token buckets of the limits of which an instance is the home.
 type Home struct {
-	ttl     time.Duration
-	buckets map[fleet.LimitID]*bucket
-	next    LeaseID
+	ttl       time.Duration
+	buckets   map[fleet.LimitID]*bucket
+	nextLease LeaseID
 }
 
-// NewHome returns a home without active limits that grants leases for ttl.
+// NewHome returns a home that has no active limits and grants leases with the TTL ttl.
 func NewHome(ttl time.Duration) *Home {
-	// A random start keeps a close meant for an earlier home from matching a lease
-	// of this one.
-	return &Home{ttl: ttl, buckets: make(map[fleet.LimitID]*bucket), next: LeaseID(rand.Uint64()>>1) + 1}
+	// Lease ids start at a random number, so that a close of a lease of an earlier
+	// home does not match a lease of this one.
+	return &Home{ttl: ttl, buckets: make(map[fleet.LimitID]*bucket), nextLease: LeaseID(rand.Uint64()>>1) + 1}
 }
 
-// Activate makes this instance the home of a limit, with level tokens available.
-// The level is what the former home's Release returned, or 0 if the former home is
-// gone or there was none. A limit that is active already starts again: an instance
-// whose authority lapsed cannot know whether there was another home in between, and
-// activates its limits again with level 0.
+// Activate makes this instance the home of a limit, with level tokens available. The
+// level is the result of the previous home's Release, or 0 if the previous home was
+// lost or there was none. Activate resets a limit that is already active: an instance
+// whose authority expired cannot know whether there was another home in between, so
+// it activates its limits again with level 0.
 func (h *Home) Activate(now time.Time, id fleet.LimitID, level fleet.Tokens) {
-	h.buckets[id] = &bucket{level: nano(max(level, 0)), last: now}
+	h.buckets[id] = &bucket{level: toNano(max(level, 0)), refilledAt: now}
 }
 
 // Active reports whether this instance is the home of the limit.
@@ -45,23 +46,23 @@
 	return ok
 }
 
-// Release ends the role of home and returns the available tokens. A changed limit
-// has to be applied before by an empty call, since the bucket refills at the last
-// rate that it has seen.
+// Release ends this instance's role as home of the limit and returns the available
+// tokens. If the limit has changed, the user must apply the change before with an
+// empty call to Take, since the bucket refills at the last rate that Take was given.
 func (h *Home) Release(now time.Time, id fleet.LimitID) fleet.Tokens {
 	b, ok := h.buckets[id]
 	if !ok {
 		return 0
 	}
 	delete(h.buckets, id)
-	b.settle(now)
-	return b.level.tokens()
+	b.advance(now)
+	return b.level.whole()
 }
 
-// Take answers a call. The limit l is the one of the home's catalogue. An instance
-// makes an empty call for every change of a limit: of two changes between two calls
-// the first would go unseen, and its lower rate with it. Without Activate nothing is granted and the TTL of
-// the lease is 0.
+// Take answers a call. The limit l comes from the catalogue of the home. An instance
+// must make an empty call for every change of a limit: otherwise, of two changes
+// between two calls, the first one would be missed, and with it a lower rate. For a
+// limit that is not active, Take grants nothing and returns a lease with TTL 0.
 func (h *Home) Take(now time.Time, l fleet.Limit, holder fleet.InstanceID, c Call) Lease {
 	b, ok := h.buckets[c.ID]
 	if !ok {
@@ -72,13 +73,13 @@
 		return Lease{Granted: c.Waiting + c.Spare, TTL: h.ttl}
 	}
 	for _, closed := range c.Closed {
-		b.close(holder, closed)
+		b.closeLease(holder, closed)
 	}
 	lease := Lease{Granted: b.grantable(c), TTL: h.ttl}
 	if lease.Granted > 0 {
-		lease.ID = h.next
-		h.next++
-		b.grant(lease.ID, holder, lease.Granted, h.ttl)
+		lease.ID = h.nextLease
+		h.nextLease++
+		b.addLease(lease.ID, holder, lease.Granted, h.ttl)
 	}
 	if lease.Granted < c.Waiting {
 		lease.RetryAfter = b.retryAfter()
@@ -86,120 +87,125 @@
 	return lease
 }
 
-// nanoTokens counts 10⁻⁹ tokens, so that the refill of whole rates over
-// nanoseconds is exact.
+// nanoTokens is a number of tokens in units of 10⁻⁹, so that the refill at an integral
+// rate over a number of nanoseconds is exact.
 type nanoTokens int64
 
 const oneToken nanoTokens = 1e9
 
-func nano(n fleet.Tokens) nanoTokens { return nanoTokens(n) * oneToken }
+func toNano(n fleet.Tokens) nanoTokens { return nanoTokens(n) * oneToken }
 
-func (n nanoTokens) tokens() fleet.Tokens { return fleet.Tokens(n / oneToken) }
+func (n nanoTokens) whole() fleet.Tokens { return fleet.Tokens(n / oneToken) }
 
-// bucket is a token bucket with its outstanding leases.
+// bucket is the token bucket of a limit with its outstanding leases.
 type bucket struct {
 	limit       fleet.Limit
-	seen        bool // limit is set
-	level       nanoTokens
-	last        time.Time // level was computed for this time
+	limitSet    bool       // limit is valid
+	level       nanoTokens // available tokens
+	refilledAt  time.Time  // time up to which level is refilled
 	outstanding fleet.Tokens
-	leases      []granted // by id and end; the first is not closed
+	leases      []outstandingLease // in the order of both id and expiry, possibly with closed ones
 }
 
-type granted struct {
-	id     LeaseID // 0 for what a former home may have granted
+type outstandingLease struct {
+	id     LeaseID // 0: tokens that the previous home may have granted
 	holder fleet.InstanceID
-	n      fleet.Tokens // 0 if closed
-	end    time.Time
+	tokens fleet.Tokens // 0: the lease is closed
+	expiry time.Time
 }
 
-// setLimit applies the limit from now on, and first brings the bucket up to now.
+// setLimit refills the bucket up to now and then applies the limit.
 func (b *bucket) setLimit(now time.Time, l fleet.Limit, ttl time.Duration) {
 	switch {
-	case !b.seen:
-		b.seen, b.limit = true, l
-		b.start(ttl)
+	case !b.limitSet:
+		b.limitSet, b.limit = true, l
+		b.reserveUnknown(ttl)
 	case b.limit.Unlimited() && !l.Unlimited():
-		// What was granted without limit is not recorded.
-		b.level, b.last, b.limit = 0, now, l
-		b.start(ttl)
+		// Tokens granted while the limit was unlimited were not recorded.
+		b.level, b.refilledAt, b.limit = 0, now, l
+		b.reserveUnknown(ttl)
 	}
-	// The change came at some time since the last call. The lower rate counts for
-	// all of it, since a rate that was cut must not refill the bucket.
+	// The limit changed at an unknown time since the last call. The lower of the two
+	// rates is used for the whole interval, so that the bucket is never refilled at a
+	// rate that was no longer in force.
 	b.limit.Rate = min(b.limit.Rate, l.Rate)
-	b.settle(now)
+	b.advance(now)
 	b.limit = l
-	b.cap()
+	b.clampLevel()
 }
 
-// start occupies the places of tokens that are unknown to this home.
-func (b *bucket) start(ttl time.Duration) {
+// reserveUnknown counts as outstanding the tokens that the previous home may have
+// granted, which this home does not know.
+func (b *bucket) reserveUnknown(ttl time.Duration) {
 	burst := b.limit.Burst
-	b.level = min(b.level, nano(burst))
-	unknown := min(maxOutstanding(burst), burst-b.level.tokens())
+	b.level = min(b.level, toNano(burst))
+	unknown := min(maxOutstanding(burst), burst-b.level.whole())
 	b.outstanding = unknown
-	b.leases = append(b.leases[:0], granted{n: unknown, end: b.last.Add(ttl)})
+	b.leases = append(b.leases[:0], outstandingLease{tokens: unknown, expiry: b.refilledAt.Add(ttl)})
 }
 
-// settle refills up to now, with each lease occupying its place until its end.
-func (b *bucket) settle(now time.Time) {
-	for len(b.leases) > 0 && (b.leases[0].n == 0 || !b.leases[0].end.After(now)) {
-		if first := b.leases[0]; first.n > 0 {
-			b.refill(first.end)
-			b.outstanding -= first.n
+// advance refills the bucket up to now. The tokens of each lease stay outstanding until
+// its expiry.
+func (b *bucket) advance(now time.Time) {
+	for len(b.leases) > 0 && (b.leases[0].tokens == 0 || !b.leases[0].expiry.After(now)) {
+		if first := b.leases[0]; first.tokens > 0 {
+			b.refill(first.expiry)
+			b.outstanding -= first.tokens
 		}
 		b.leases = b.leases[1:]
 	}
 	b.refill(now)
 }
 
-// refill ignores a time before the last one: calls may be handled out of order.
+// refill adds the tokens of the time since refilledAt. It ignores an earlier time,
+// since calls may be handled out of order.
 func (b *bucket) refill(to time.Time) {
-	d := to.Sub(b.last)
+	d := to.Sub(b.refilledAt)
 	if d <= 0 {
 		return
 	}
-	b.last = to
+	b.refilledAt = to
 	add := math.Floor(float64(b.limit.Rate) * float64(d))
-	b.level += nanoTokens(min(add, float64(nano(b.limit.Burst))))
-	b.cap()
+	b.level += nanoTokens(min(add, float64(toNano(b.limit.Burst))))
+	b.clampLevel()
 }
 
-// cap keeps available plus outstanding tokens within the burst.
-func (b *bucket) cap() {
-	b.level = max(0, min(b.level, nano(b.limit.Burst-b.outstanding)))
+// clampLevel limits available plus outstanding tokens to the burst.
+func (b *bucket) clampLevel() {
+	b.level = max(0, min(b.level, toNano(b.limit.Burst-b.outstanding)))
 }
 
-func (b *bucket) close(holder fleet.InstanceID, c Closed) {
+func (b *bucket) closeLease(holder fleet.InstanceID, c Closed) {
 	i := sort.Search(len(b.leases), func(i int) bool { return b.leases[i].id >= c.Lease })
 	if c.Lease == 0 || i == len(b.leases) || b.leases[i].id != c.Lease || b.leases[i].holder != holder {
 		return
 	}
 	l := &b.leases[i]
-	b.outstanding -= l.n
-	b.level += nano(max(0, min(c.Unused, l.n)))
-	l.n = 0
-	b.cap()
+	b.outstanding -= l.tokens
+	b.level += toNano(max(0, min(c.Unused, l.tokens)))
+	l.tokens = 0
+	b.clampLevel()
 }
 
-// grantable gives waiting requests what there is. Spare tokens come from the upper
-// quarter of the bucket only, so that few requests are refused for tokens that lie idle
-// at another holder.
+// grantable returns the number of tokens to grant to a call. Waiting requests get all
+// available tokens. Spare tokens are granted only from the upper quarter of the bucket,
+// so that few requests are refused while unused tokens are held by other holders.
 func (b *bucket) grantable(c Call) fleet.Tokens {
-	available := b.level.tokens()
+	available := b.level.whole()
 	room := max(0, maxOutstanding(b.limit.Burst)-b.outstanding)
 	n := min(max(c.Waiting, 0), available, room)
 	spare := min(c.Spare, available-n-(3*b.limit.Burst+3)/4, room-n)
 	return n + max(spare, 0)
 }
 
-func (b *bucket) grant(id LeaseID, holder fleet.InstanceID, n fleet.Tokens, ttl time.Duration) {
-	b.level -= nano(n)
+func (b *bucket) addLease(id LeaseID, holder fleet.InstanceID, n fleet.Tokens, ttl time.Duration) {
+	b.level -= toNano(n)
 	b.outstanding += n
-	b.leases = append(b.leases, granted{id: id, holder: holder, n: n, end: b.last.Add(ttl)})
+	b.leases = append(b.leases, outstandingLease{id: id, holder: holder, tokens: n, expiry: b.refilledAt.Add(ttl)})
 }
 
-// retryAfter returns 0 if tokens become available by closes rather than by refill.
+// retryAfter returns the time until a token is refilled, or 0 if tokens become available
+// by closes of leases instead.
 func (b *bucket) retryAfter() time.Duration {
 	if b.level >= oneToken || b.outstanding >= b.limit.Burst && b.limit.Burst > 0 {
 		return 0
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -19,7 +19,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// message is a call on its way to a home, or its answer on the way back.
+// message is a call in transit to a home or, if lease is set, the answer in transit
+// back to the holder.
 type message struct {
 	home, holder int
 	sent         time.Time // on the holder's clock
@@ -28,137 +29,137 @@
 	lease        *Lease
 }
 
-// history runs drawn events against holders and homes and records admissions.
-type history struct {
-	t        *rapid.T
-	now      time.Time
-	limits   []change
-	holders  []*Holder
-	skew     []time.Duration // of each instance's clock
-	homes    []*Home
-	ends     []time.Time // when each home lost its authority; zero: it has not
-	messages []message
-	admitted []time.Time
+// randomRun executes random events on holders and homes and records the admissions.
+type randomRun struct {
+	t             *rapid.T
+	now           time.Time
+	limits        []limitChange
+	holders       []*Holder
+	skew          []time.Duration // clock offset of each holder
+	homes         []*Home
+	authorityEnds []time.Time // when each home lost its authority; zero: it still has it
+	messages      []message
+	admitted      []time.Time
 }
 
-type change struct {
+type limitChange struct {
 	at    time.Time
 	limit fleet.Limit
 }
 
-func (h *history) limit() fleet.Limit { return h.limits[len(h.limits)-1].limit }
+func (r *randomRun) limit() fleet.Limit { return r.limits[len(r.limits)-1].limit }
 
-func (h *history) send(holder int, calls []Call) {
+func (r *randomRun) send(holder int, calls []Call) {
 	for _, c := range calls {
-		h.messages = append(h.messages, message{
-			home: len(h.homes) - 1, holder: holder,
-			sent: h.now.Add(h.skew[holder]), sentAt: h.now, call: c,
+		r.messages = append(r.messages, message{
+			home: len(r.homes) - 1, holder: holder,
+			sent: r.now.Add(r.skew[holder]), sentAt: r.now, call: c,
 		})
 	}
 }
 
-func (h *history) admit() {
-	i := rapid.IntRange(0, len(h.holders)-1).Draw(h.t, "holder")
-	for range rapid.SampledFrom([]int{1, 2, 5, 250}).Draw(h.t, "requests") {
-		switch d := h.holders[i].Admit(h.now.Add(h.skew[i]), []Bounded{{ID: id, Limit: h.limit()}}).(type) {
+func (r *randomRun) admit() {
+	i := rapid.IntRange(0, len(r.holders)-1).Draw(r.t, "holder")
+	for range rapid.SampledFrom([]int{1, 2, 5, 250}).Draw(r.t, "requests") {
+		switch d := r.holders[i].Admit(r.now.Add(r.skew[i]), []Bounded{{ID: id, Limit: r.limit()}}).(type) {
 		case Admitted:
-			h.admitted = append(h.admitted, h.now)
+			r.admitted = append(r.admitted, r.now)
 		case Need:
-			h.send(i, d.Calls)
+			r.send(i, d.Calls)
 		}
 	}
 }
 
-// grab asks for more than a holder would, so that many tokens are held and spent at
-// the worst time.
-func (h *history) grab() {
-	i := rapid.IntRange(0, len(h.holders)-1).Draw(h.t, "holder")
-	n := fleet.Tokens(rapid.SampledFrom([]int{1, 3, 40, 200}).Draw(h.t, "tokens"))
-	h.send(i, []Call{{ID: id, Waiting: n}})
+// requestExtra requests more tokens than a holder would by itself, so that many tokens
+// are held and spent at the worst time.
+func (r *randomRun) requestExtra() {
+	i := rapid.IntRange(0, len(r.holders)-1).Draw(r.t, "holder")
+	n := fleet.Tokens(rapid.SampledFrom([]int{1, 3, 40, 200}).Draw(r.t, "tokens"))
+	r.send(i, []Call{{ID: id, Waiting: n}})
 }
 
-func (h *history) tick() {
-	i := rapid.IntRange(0, len(h.holders)-1).Draw(h.t, "holder")
-	h.send(i, h.holders[i].Tick(h.now.Add(h.skew[i])))
+func (r *randomRun) tick() {
+	i := rapid.IntRange(0, len(r.holders)-1).Draw(r.t, "holder")
+	r.send(i, r.holders[i].Tick(r.now.Add(r.skew[i])))
 }
 
-// deliver lets any message arrive, in any order. A home may handle a call with a
-// time that it read before a pause.
-func (h *history) deliver() {
-	if len(h.messages) == 0 {
+// deliver delivers a randomly chosen message, so that messages arrive in any order. A
+// home may handle a call with a clock reading from before a pause of up to 600 ms.
+func (r *randomRun) deliver() {
+	if len(r.messages) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(h.messages)-1).Draw(h.t, "message")
-	m := h.messages[i]
-	h.messages = slices.Delete(h.messages, i, i+1)
+	i := rapid.IntRange(0, len(r.messages)-1).Draw(r.t, "message")
+	m := r.messages[i]
+	r.messages = slices.Delete(r.messages, i, i+1)
 	if m.lease != nil {
-		h.holders[m.holder].Add(m.sent, id, *m.lease)
+		r.holders[m.holder].Add(m.sent, id, *m.lease)
 		return
 	}
-	read := h.now.Add(-time.Duration(rapid.IntRange(0, 600).Draw(h.t, "pause")) * time.Millisecond)
+	read := r.now.Add(-time.Duration(rapid.IntRange(0, 600).Draw(r.t, "pause")) * time.Millisecond)
 	if read.Before(m.sentAt) {
 		read = m.sentAt
 	}
-	if end := h.ends[m.home]; !end.IsZero() && read.After(end) {
+	if end := r.authorityEnds[m.home]; !end.IsZero() && read.After(end) {
 		return
 	}
-	l := h.homes[m.home].Take(read.Add(h.homeSkew(m.home)), h.limit(), name(m.holder), m.call)
+	l := r.homes[m.home].Take(read.Add(r.homeSkew(m.home)), r.limit(), instanceName(m.holder), m.call)
 	m.lease = &l
-	h.messages = append(h.messages, m)
+	r.messages = append(r.messages, m)
 }
 
-func (h *history) homeSkew(i int) time.Duration { return time.Duration(i) * 7 * time.Second }
+func (r *randomRun) homeSkew(i int) time.Duration { return time.Duration(i) * 7 * time.Second }
 
-func (h *history) drop() {
-	if len(h.messages) > 0 {
-		i := rapid.IntRange(0, len(h.messages)-1).Draw(h.t, "message")
-		h.messages = slices.Delete(h.messages, i, i+1)
+func (r *randomRun) dropMessage() {
+	if len(r.messages) > 0 {
+		i := rapid.IntRange(0, len(r.messages)-1).Draw(r.t, "message")
+		r.messages = slices.Delete(r.messages, i, i+1)
 	}
 }
 
-func (h *history) restartHolder() {
-	h.holders[rapid.IntRange(0, len(h.holders)-1).Draw(h.t, "holder")] = NewHolder()
+func (r *randomRun) restartHolder() {
+	r.holders[rapid.IntRange(0, len(r.holders)-1).Draw(r.t, "holder")] = NewHolder()
 }
 
-func (h *history) handOver(released bool) {
-	last := len(h.homes) - 1
+func (r *randomRun) handOverHome(released bool) {
+	last := len(r.homes) - 1
 	var level fleet.Tokens
 	if released {
-		h.applyChange()
-		level = h.homes[last].Release(h.now.Add(h.homeSkew(last)), id)
-		h.now = h.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(h.t, "transfer")) * time.Millisecond)
+		r.applyLimit()
+		level = r.homes[last].Release(r.now.Add(r.homeSkew(last)), id)
+		r.now = r.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(r.t, "transfer")) * time.Millisecond)
 	}
-	h.ends[last] = h.now
-	h.start(level)
+	r.authorityEnds[last] = r.now
+	r.startHome(level)
 }
 
-// applyChange is what an instance does at the latest when the next change or a
-// release follows.
-func (h *history) applyChange() {
-	last := len(h.homes) - 1
-	h.homes[last].Take(h.now.Add(h.homeSkew(last)), h.limit(), "", Call{ID: id})
+// applyLimit applies the present limit at the home. An instance does so before the
+// next change or a release at the latest.
+func (r *randomRun) applyLimit() {
+	last := len(r.homes) - 1
+	r.homes[last].Take(r.now.Add(r.homeSkew(last)), r.limit(), "", Call{ID: id})
 }
 
-func (h *history) start(level fleet.Tokens) {
+func (r *randomRun) startHome(level fleet.Tokens) {
 	home := NewHome(ttl)
-	h.homes = append(h.homes, home)
-	h.ends = append(h.ends, time.Time{})
-	now := h.now.Add(h.homeSkew(len(h.homes) - 1))
+	r.homes = append(r.homes, home)
+	r.authorityEnds = append(r.authorityEnds, time.Time{})
+	now := r.now.Add(r.homeSkew(len(r.homes) - 1))
 	home.Activate(now, id, level)
-	home.Take(now, h.limit(), "", Call{ID: id})
+	home.Take(now, r.limit(), "", Call{ID: id})
 }
 
-func name(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("i", i)) }
+func instanceName(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("i", i)) }
 
-// allowed returns the tokens of the window. The burst is the highest in force from
-// one TTL before the window on.
-func (h *history) allowed(from, to time.Time) float64 {
+// maxAdmitted returns the number of requests that may be admitted in a window. The
+// burst is the highest one in force from one TTL before the window until its end.
+func (r *randomRun) maxAdmitted(from, to time.Time) float64 {
 	var burst fleet.Tokens
 	var refill float64
-	for i, c := range h.limits {
+	for i, c := range r.limits {
 		start, end := c.at, to
-		if i+1 < len(h.limits) {
-			end = h.limits[i+1].at
+		if i+1 < len(r.limits) {
+			end = r.limits[i+1].at
 		}
 		if !end.Before(from.Add(-ttl)) && !start.After(to) {
 			burst = max(burst, c.limit.Burst)
@@ -176,12 +177,12 @@
 	return float64(burst) + refill
 }
 
-// check looks at every window that starts and ends with an admission. Admissions at
-// the same time are one step.
-func (h *history) check() {
+// checkWindows checks every window that starts and ends with an admission. Admissions
+// at the same time are counted together.
+func (r *randomRun) checkWindows() {
 	var at []time.Time
 	var count []int
-	for _, t := range h.admitted {
+	for _, t := range r.admitted {
 		if n := len(at); n > 0 && at[n-1].Equal(t) {
 			count[n-1]++
 			continue
@@ -192,9 +193,9 @@
 		n := 0
 		for j := i; j < len(at); j++ {
 			n += count[j]
-			if allowed := h.allowed(from, at[j]); float64(n) > allowed+1e-6 {
-				h.t.Fatalf("%d requests admitted in %v from %v, allowed are %.3f (%+v)",
-					n, at[j].Sub(from), from.Sub(epoch), allowed, h.limits)
+			if allowed := r.maxAdmitted(from, at[j]); float64(n) > allowed+1e-6 {
+				r.t.Fatalf("%d requests admitted within %v from %v on, want at most %.3f (limits %+v)",
+					n, at[j].Sub(from), from.Sub(epoch), allowed, r.limits)
 			}
 		}
 	}
@@ -207,61 +208,64 @@
 	}
 }
 
-// Guards against windows that admit more than burst + rate × window when calls and
-// answers are lost, late, reordered or repeated after a pause, homes are handed over
-// with or without a release, holders restart, and the limit changes.
+// TestWindowBound guards against windows in which more than burst + rate × window
+// requests are admitted when calls and answers are lost, delayed, reordered or handled
+// after a pause, homes are handed over with or without a release, holders restart, and
+// the limit changes.
 func TestWindowBound(t *testing.T) {
 	if checks := flag.Lookup("rapid.checks").Value; checks.String() == "100" {
-		// Each rule of the package comment, removed, is found within this many.
+		// With any one rule of the package comment removed from the code, the test
+		// fails within this number of runs.
 		if err := checks.Set("5000"); err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = checks.Set("100") }()
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{t: t, now: epoch}
-		h.limits = []change{{at: epoch, limit: drawLimit(t)}}
+		r := &randomRun{t: t, now: epoch}
+		r.limits = []limitChange{{at: epoch, limit: drawLimit(t)}}
 		for i := range rapid.IntRange(1, 6).Draw(t, "holders") {
-			h.holders = append(h.holders, NewHolder())
-			h.skew = append(h.skew, time.Duration(i)*-3*time.Second)
+			r.holders = append(r.holders, NewHolder())
+			r.skew = append(r.skew, time.Duration(i)*-3*time.Second)
 		}
-		h.start(0)
-		h.now = h.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "fill")) * time.Millisecond)
+		r.startHome(0)
+		r.now = r.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "fill")) * time.Millisecond)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			switch n := rapid.IntRange(0, 99).Draw(t, "event"); {
 			case n < 25:
-				h.admit()
+				r.admit()
 			case n < 55:
-				h.deliver()
+				r.deliver()
 			case n < 65:
-				h.tick()
+				r.tick()
 			case n < 75:
-				h.grab()
+				r.requestExtra()
 			case n < 88:
-				h.now = h.now.Add(time.Duration(rapid.SampledFrom([]int{1, 20, 150, 490, 501}).Draw(t, "ms")) * time.Millisecond)
+				r.now = r.now.Add(time.Duration(rapid.SampledFrom([]int{1, 20, 150, 490, 501}).Draw(t, "ms")) * time.Millisecond)
 			case n < 91:
-				h.drop()
+				r.dropMessage()
 			case n < 93:
-				h.restartHolder()
+				r.restartHolder()
 			case n < 97:
-				h.handOver(rapid.Bool().Draw(t, "released"))
+				r.handOverHome(rapid.Bool().Draw(t, "released"))
 			default:
-				h.applyChange()
-				h.limits = append(h.limits, change{at: h.now, limit: drawLimit(t)})
+				r.applyLimit()
+				r.limits = append(r.limits, limitChange{at: r.now, limit: drawLimit(t)})
 			}
 		}
-		h.check()
+		r.checkWindows()
 	})
 }
 
-// Guards against a close that arrives after the TTL and is credited although the
-// place of its tokens was refilled, and against one that names another's lease.
+// TestLateClose guards against crediting a close that arrives after the TTL, when the
+// bucket has already been refilled in place of its tokens, and a close of another
+// holder's lease.
 func TestLateClose(t *testing.T) {
 	l := fleet.Limit{Rate: 10, Burst: 5}
 	h := NewHome(ttl)
 	h.Activate(epoch, id, 5)
 	old := h.Take(epoch.Add(ttl), l, "a", Call{ID: id, Waiting: 5})
-	later := epoch.Add(3 * ttl) // refilled for one TTL
+	later := epoch.Add(3 * ttl) // the lease has expired and the bucket has refilled for one TTL
 	newer := h.Take(later, l, "a", Call{ID: id, Waiting: 3})
 	got := []fleet.Tokens{old.Granted, newer.Granted}
 	for _, holder := range []fleet.InstanceID{"a", "b"} {
@@ -275,8 +279,8 @@
 	}
 }
 
-// Guards against a next home that refills the places of tokens which holders got
-// from the former one and still hold.
+// TestUnknownTokensStayOccupied guards against a new home that grants tokens beyond the
+// burst while holders still have tokens from the previous home.
 func TestUnknownTokensStayOccupied(t *testing.T) {
 	l := fleet.Limit{Rate: 1000, Burst: 200}
 	first := NewHome(ttl)
@@ -290,6 +294,6 @@
 		t.Errorf("tokens held at the same time: %d + %d, burst %d", held.Granted, got.Granted, l.Burst)
 	}
 	if after := next.Take(lost.Add(ttl), l, "b", Call{ID: id, Waiting: 1, Closed: []Closed{{Lease: got.ID}}}); after.Granted != 1 {
-		t.Errorf("after the TTL: %+v", after)
+		t.Errorf("lease after the TTL: %+v, want 1 token", after)
 	}
 }
--- a/internal/limit/use_test.go
+++ b/internal/limit/use_test.go
@@ -10,25 +10,25 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// simulation runs holders against one home in simulated time, with a tick of 10 ms
-// and 1 ms to the home and back each.
+// simulation runs holders against one home in simulated time, with a Tick every 10 ms
+// and a network delay of 1 ms in each direction.
 type simulation struct {
-	now       time.Time
-	events    events
-	home      *Home
-	limit     fleet.Limit
-	holders   []*Holder
-	waiters   [][]time.Time // arrivals of waiting requests by holder
-	admitted  int
-	refused   int
-	calls     int
-	waitLimit time.Duration
-	arrivals  []time.Time
+	now          time.Time
+	events       events
+	home         *Home
+	limit        fleet.Limit
+	holders      []*Holder
+	waiters      [][]time.Time // arrival times of waiting requests, by holder
+	admitted     int
+	refused      int
+	calls        int
+	maxWait      time.Duration
+	arrivalTimes []time.Time
 }
 
 type event struct {
-	at  time.Time
-	run func()
+	at time.Time
+	do func()
 }
 
 type events []event
@@ -44,39 +44,39 @@
 }
 
 func newSimulation(l fleet.Limit, holders int) *simulation {
-	s := &simulation{now: epoch, home: NewHome(ttl), limit: l, waiters: make([][]time.Time, holders), waitLimit: time.Second}
+	s := &simulation{now: epoch, home: NewHome(ttl), limit: l, waiters: make([][]time.Time, holders), maxWait: time.Second}
 	s.home.Activate(epoch.Add(-time.Hour), id, l.Burst)
 	for i := range holders {
 		s.holders = append(s.holders, NewHolder())
-		s.after(time.Duration(i)*time.Millisecond, func() { s.tick(i) })
+		s.schedule(time.Duration(i)*time.Millisecond, func() { s.tick(i) })
 	}
 	return s
 }
 
-func (s *simulation) after(d time.Duration, run func()) {
-	heap.Push(&s.events, event{at: s.now.Add(d), run: run})
+func (s *simulation) schedule(d time.Duration, run func()) {
+	heap.Push(&s.events, event{at: s.now.Add(d), do: run})
 }
 
 func (s *simulation) runFor(d time.Duration) {
 	for end := s.now.Add(d); s.events[0].at.Before(end); {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.run()
+		e.do()
 	}
 }
 
 func (s *simulation) tick(i int) {
 	s.call(i, s.holders[i].Tick(s.now))
-	s.after(10*time.Millisecond, func() { s.tick(i) })
+	s.schedule(10*time.Millisecond, func() { s.tick(i) })
 }
 
 func (s *simulation) call(i int, calls []Call) {
 	sent := s.now
 	for _, c := range calls {
 		s.calls++
-		s.after(time.Millisecond, func() {
-			l := s.home.Take(s.now, s.limit, name(i), c)
-			s.after(time.Millisecond, func() {
+		s.schedule(time.Millisecond, func() {
+			l := s.home.Take(s.now, s.limit, instanceName(i), c)
+			s.schedule(time.Millisecond, func() {
 				s.holders[i].Add(sent, id, l)
 				waiters := s.waiters[i]
 				s.waiters[i] = nil
@@ -89,7 +89,7 @@
 }
 
 func (s *simulation) request(i int, arrival time.Time) {
-	if s.now.Sub(arrival) > s.waitLimit {
+	if s.now.Sub(arrival) > s.maxWait {
 		s.refused++
 		return
 	}
@@ -104,21 +104,23 @@
 	}
 }
 
-// load sends requests at random times; pick chooses the holder.
-func (s *simulation) load(rng *rand.Rand, rate float64, pick func() int) {
+// generateLoad sends requests at random times with an average rate in requests/s; pick
+// chooses the holder of each.
+func (s *simulation) generateLoad(rng *rand.Rand, rate float64, pick func() int) {
 	var next func()
 	next = func() {
-		s.arrivals = append(s.arrivals, s.now)
+		s.arrivalTimes = append(s.arrivalTimes, s.now)
 		s.request(pick(), s.now)
-		s.after(time.Duration(rng.ExpFloat64()/rate*1e9), next)
+		s.schedule(time.Duration(rng.ExpFloat64()/rate*1e9), next)
 	}
-	s.after(0, next)
+	s.schedule(0, next)
 }
 
-// single returns the refusals of one bucket for the same requests.
-func (s *simulation) single() (refused int) {
+// singleBucketRefusals returns how many of the same requests a single token bucket
+// refuses.
+func (s *simulation) singleBucketRefusals() (refused int) {
 	level, last := float64(s.limit.Burst), epoch
-	for _, at := range s.arrivals {
+	for _, at := range s.arrivalTimes {
 		level = min(float64(s.limit.Burst), level+float64(s.limit.Rate)*at.Sub(last).Seconds())
 		if last = at; level >= 1 {
 			level--
@@ -129,15 +131,15 @@
 	return refused
 }
 
-// Guards against refusals inside the rate beyond those of a single bucket: with 12
-// holders, low rates, bursts below the number of holders, load that moves to one
-// holder at once, and an overload that must still get its rate.
+// TestFewRefusals guards against noticeably more refusals than a single token bucket
+// gives: with 12 holders, low rates, bursts below the number of holders, load that
+// shifts to one holder at once, and overload, of which the rate must still be admitted.
 func TestFewRefusals(t *testing.T) {
 	for _, c := range []struct {
 		rate  float64
 		burst fleet.Tokens
-		load  float64 // of the rate
-		move  time.Duration
+		load  float64       // as a fraction of rate
+		move  time.Duration // after which all load shifts to the next holder; 0: load on all holders
 	}{
 		{10, 5, 0.5, 0},
 		{10, 5, 0.8, 0},
@@ -155,7 +157,7 @@
 			l := fleet.Limit{Rate: fleet.PerSecond(c.rate), Burst: c.burst}
 			s := newSimulation(l, 12)
 			rng := rand.New(rand.NewPCG(1, 2))
-			s.load(rng, c.rate*c.load, func() int {
+			s.generateLoad(rng, c.rate*c.load, func() int {
 				if c.move == 0 {
 					return rng.IntN(len(s.holders))
 				}
@@ -163,11 +165,11 @@
 			})
 			s.runFor(d)
 			total := s.admitted + s.refused
-			got, best := float64(s.refused)/float64(total), float64(s.single())/float64(total)
+			got, best := float64(s.refused)/float64(total), float64(s.singleBucketRefusals())/float64(total)
 			t.Logf("refused %.4f, single bucket %.4f; %.0f calls/s for %.0f requests/s",
 				got, best, float64(s.calls)/d.Seconds(), float64(total)/d.Seconds())
 			if got > best+0.005 {
-				t.Errorf("refused %.4f of requests, a single bucket refuses %.4f", got, best)
+				t.Errorf("refused share of requests %.4f, want at most 0.005 above the %.4f of a single bucket", got, best)
 			}
 		})
 	}
@@ -190,7 +192,8 @@
 	}
 }
 
-// Guards against a request that spends a token of one limit and lacks the other's.
+// TestBothLimitsOrNone guards against a request that spends a token of one limit
+// although no token of its other limit is available.
 func TestBothLimitsOrNone(t *testing.T) {
 	h := NewHolder()
 	l := fleet.Limit{Rate: 1, Burst: 5}
@@ -198,16 +201,17 @@
 	h.Add(epoch, "account:a", Lease{ID: 1, Granted: 1, TTL: ttl})
 	n, ok := h.Admit(epoch, limits).(Need)
 	if !ok || len(n.Calls) != 1 || n.Calls[0].ID != "entry:e" || h.Held(epoch, "account:a") != 1 {
-		t.Fatalf("need = %+v, held %d", n, h.Held(epoch, "account:a"))
+		t.Fatalf("decision %+v, want Need with a call for entry:e; %d tokens of account:a, want 1", n, h.Held(epoch, "account:a"))
 	}
 	h.Add(epoch, "entry:e", Lease{ID: 2, Granted: 1, TTL: ttl})
 	if d, ok := h.Admit(epoch, limits).(Admitted); !ok || h.Held(epoch, "account:a")+h.Held(epoch, "entry:e") != 0 {
-		t.Errorf("decision %+v", d)
+		t.Errorf("decision %+v, want Admitted", d)
 	}
 }
 
-// Guards against admissions after the TTL without the home, and against refusals
-// that call an unreachable home a used-up rate or never ask it again.
+// TestUnreachableHome guards against admissions with expired leases while the home is
+// unreachable, against refusals with the reason rate-limited in that case, and against
+// never calling the home again.
 func TestUnreachableHome(t *testing.T) {
 	h := NewHolder()
 	limits := []Bounded{{ID: id, Limit: fleet.Limit{Rate: 1, Burst: 5}}}
@@ -218,17 +222,17 @@
 	now := epoch.Add(ttl)
 	n, ok := h.Admit(now, limits).(Need)
 	if !ok || len(n.Calls) != 1 {
-		t.Fatalf("after the TTL: %+v", n)
+		t.Fatalf("decision after the TTL: %+v, want Need with one call", n)
 	}
 	h.Fail(now, id)
 	if _, ok := h.Admit(now, limits).(Need); !ok {
-		t.Error("refused although the home may only be moving")
+		t.Error("refused within homeTimeout, although the home may be handed over")
 	}
-	r, ok := h.Admit(now.Add(patience), limits).(Refused)
+	r, ok := h.Admit(now.Add(homeTimeout), limits).(Refused)
 	if !ok || r.Reason != fleet.ReasonLimitUnavailable {
-		t.Errorf("refusal: %+v", r)
+		t.Errorf("refusal %+v, want limit-unavailable", r)
 	}
-	if calls := h.Tick(now.Add(patience)); len(calls) != 1 {
-		t.Errorf("calls to a failing home: %+v", calls)
+	if calls := h.Tick(now.Add(homeTimeout)); len(calls) != 1 {
+		t.Errorf("calls to a failing home: %+v, want one", calls)
 	}
 }
