--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,19 +1,20 @@
-// Package route decides where a caller's request goes, for whom it runs and what
-// of it an upstream may see.
+// Package route matches a caller's request to an entry of the catalogue, authenticates
+// its account, determines its routing key, and removes the caller key from what is
+// forwarded to the upstream.
 //
-// No upstream sees a caller key. The places where callers present it are removed:
-// the Authorization header with the Bearer scheme, X-Api-Key, and the query
-// parameter and the cookie api-key. Any other header, query parameter or cookie
-// that contains a presented key in plain, percent-encoded or base64 form is removed
-// too. A path that contains it is refused, because a path cannot be cut without
-// changing its meaning. Trailers are never passed on. The body is not searched: a
-// caller that copies its key into the body sends it itself.
+// No upstream receives a caller key. The request is forwarded without the parts in
+// which callers present it: the Authorization header with the Bearer scheme, the
+// X-Api-Key header, and the query parameter and the cookie api-key. Any other header,
+// query parameter or cookie that contains a presented key in plain, percent-encoded or
+// base64 form is removed too. A request whose path contains the key is refused, because
+// removing a part of a path would change its meaning. Trailers are never forwarded. The
+// body is not searched: a caller that puts its key into the body discloses it itself.
 //
-// Refusals name the rule that was broken and never quote the request.
+// Refusals name the violated rule and never quote the request.
 //
-// A path prefix matches whole path segments, after percent-decoding. A path that
-// upstreams could read as one of another entry, by resolving dot segments or
-// repeated slashes, is refused.
+// A path prefix matches whole path segments after percent-decoding. A path that
+// resolves to another entry once dot segments and repeated slashes are cleaned is
+// refused, because the upstream might resolve it that way.
 package route
 
 import (
@@ -32,42 +33,44 @@
 )
 
 const (
-	// defaultTimeout bounds requests to a service without a timeout.
+	// defaultTimeout is the timeout of requests to a service that sets none.
 	defaultTimeout = 30 * time.Second
-	// maxRoutingKey keeps routing keys fit for a header and the assignment.
-	maxRoutingKey = 1024
+	// maxRoutingKeyBytes keeps routing keys short enough for a header and for the
+	// assignment.
+	maxRoutingKeyBytes = 1024
 )
 
-// Index is a catalogue prepared for look-ups. It is immutable.
+// Index is a catalogue indexed for look-ups. It is immutable.
 type Index struct {
-	accounts map[fleet.CallerKeyHash]fleet.AccountID
-	limits   map[fleet.AccountID]fleet.Limit
-	bounded  map[fleet.LimitID]fleet.Limit // without the unlimited ones
-	prefixes map[string]*target            // by path prefix without a slash at its end
+	accountByKey    map[fleet.CallerKeyHash]fleet.AccountID
+	accountLimits   map[fleet.AccountID]fleet.Limit
+	effectiveLimits map[fleet.LimitID]fleet.Limit // without unlimited limits
+	entryByPrefix   map[string]*routeEntry        // by path prefix without trailing slashes
 }
 
-type target struct {
+// routeEntry is an entry with its service.
+type routeEntry struct {
 	entry    catalogue.Entry
 	service  catalogue.Service
-	accounts map[fleet.AccountID]struct{} // nil: all
+	accounts map[fleet.AccountID]struct{} // accounts that may use the entry; nil: all
 }
 
-// NewIndex prepares a catalogue. Entries whose service is unknown, and caller keys
-// whose account is unknown, are left out.
+// NewIndex returns the index of a catalogue. It omits entries whose service is unknown
+// and caller keys whose account is unknown.
 func NewIndex(c *catalogue.Catalogue) *Index {
 	x := &Index{
-		accounts: make(map[fleet.CallerKeyHash]fleet.AccountID, len(c.CallerKeys)),
-		limits:   make(map[fleet.AccountID]fleet.Limit, len(c.Accounts)),
-		bounded:  make(map[fleet.LimitID]fleet.Limit, len(c.Accounts)),
-		prefixes: make(map[string]*target, len(c.Entries)),
+		accountByKey:    make(map[fleet.CallerKeyHash]fleet.AccountID, len(c.CallerKeys)),
+		accountLimits:   make(map[fleet.AccountID]fleet.Limit, len(c.Accounts)),
+		effectiveLimits: make(map[fleet.LimitID]fleet.Limit, len(c.Accounts)),
+		entryByPrefix:   make(map[string]*routeEntry, len(c.Entries)),
 	}
 	for _, a := range c.Accounts {
-		x.limits[a.ID] = a.Limit
-		x.bound(fleet.AccountLimit(a.ID), a.Limit)
+		x.accountLimits[a.ID] = a.Limit
+		x.addLimit(fleet.AccountLimit(a.ID), a.Limit)
 	}
 	for _, k := range c.CallerKeys {
-		if _, ok := x.limits[k.Account]; ok {
-			x.accounts[k.Hash] = k.Account
+		if _, ok := x.accountLimits[k.Account]; ok {
+			x.accountByKey[k.Hash] = k.Account
 		}
 	}
 	services := make(map[fleet.ServiceID]catalogue.Service, len(c.Services))
@@ -79,39 +82,40 @@
 		if !ok {
 			continue
 		}
-		t := &target{entry: e, service: s}
+		t := &routeEntry{entry: e, service: s}
 		if len(e.Accounts) > 0 {
 			t.accounts = make(map[fleet.AccountID]struct{}, len(e.Accounts))
 			for _, a := range e.Accounts {
 				t.accounts[a] = struct{}{}
 			}
 		}
-		x.prefixes[strings.TrimRight(e.PathPrefix, "/")] = t
-		x.bound(fleet.EntryLimit(e.ID), e.Limit)
+		x.entryByPrefix[strings.TrimRight(e.PathPrefix, "/")] = t
+		x.addLimit(fleet.EntryLimit(e.ID), e.Limit)
 	}
 	return x
 }
 
-func (x *Index) bound(id fleet.LimitID, l fleet.Limit) {
+func (x *Index) addLimit(id fleet.LimitID, l fleet.Limit) {
 	if !l.Unlimited() {
-		x.bounded[id] = l
+		x.effectiveLimits[id] = l
 	}
 }
 
-// Limit returns the limit with the id, if it bounds anything.
+// Limit returns the limit with the given id, unless it is unknown or unlimited.
 func (x *Index) Limit(id fleet.LimitID) (fleet.Limit, bool) {
-	l, ok := x.bounded[id]
+	l, ok := x.effectiveLimits[id]
 	return l, ok
 }
 
-// Limits returns the ids of all limits that bound anything, sorted.
-func (x *Index) Limits() []fleet.LimitID { return slices.Sorted(maps.Keys(x.bounded)) }
+// Limits returns the ids of all limits that are not unlimited, in sorted order.
+func (x *Index) Limits() []fleet.LimitID { return slices.Sorted(maps.Keys(x.effectiveLimits)) }
 
-// match returns the entry with the longest prefix of whole segments, or nil.
-func (x *Index) match(p string) *target {
+// matchEntry returns the entry with the longest path prefix that matches whole segments
+// of the path p, or nil.
+func (x *Index) matchEntry(p string) *routeEntry {
 	p = strings.TrimRight(p, "/")
 	for {
-		if t, ok := x.prefixes[p]; ok {
+		if t, ok := x.entryByPrefix[p]; ok {
 			return t
 		}
 		i := strings.LastIndexByte(p, '/')
@@ -122,19 +126,19 @@
 	}
 }
 
-// Incoming is a request as a caller sent it, without its body.
+// Incoming is a request as received from a caller, without its body.
 type Incoming struct {
-	RequestID       fleet.RequestID // given by the receiving instance
-	Method, Target  string          // Target is the path and query
+	RequestID       fleet.RequestID // assigned by the receiving instance
+	Method, Target  string          // Target is the path with the query
 	Host            string
 	Header, Trailer http.Header
 }
 
-// Routed is a request that may run.
+// Routed is a request that was accepted for forwarding.
 type Routed struct {
 	Entry    catalogue.Entry
 	Service  catalogue.Service
-	Account  fleet.AccountID // empty on an open route without a valid caller key
+	Account  fleet.AccountID // empty if the entry is open and there is no valid caller key
 	Key      fleet.RoutingKey
 	Target   string      // without the caller key
 	Header   http.Header // without the caller key and hop-by-hop headers
@@ -142,85 +146,85 @@
 	Deadline time.Time
 }
 
-func refuse(reason fleet.Reason, detail string) *fleet.Refusal {
+func newRefusal(reason fleet.Reason, detail string) *fleet.Refusal {
 	return &fleet.Refusal{Reason: reason, Detail: detail}
 }
 
-// Decide routes a request or refuses it. It changes nothing in r. With a refusal it
-// returns what was decided before, for explanations.
+// Decide routes a request or refuses it. It does not modify r. The Routed value
+// returned with a refusal holds what was determined before it, for explanations.
 func Decide(now time.Time, cat *Index, r Incoming) (Routed, *fleet.Refusal) {
 	rawPath, rawQuery, hasQuery := strings.Cut(r.Target, "?")
 	decoded, err := url.PathUnescape(rawPath)
-	if err != nil || !strings.HasPrefix(rawPath, "/") || !plainText(decoded) || strings.Contains(rawPath, "#") {
-		return Routed{}, refuse(fleet.ReasonBadRequest, "the request target is not a valid path")
+	if err != nil || !strings.HasPrefix(rawPath, "/") || !hasNoControlChars(decoded) || strings.Contains(rawPath, "#") {
+		return Routed{}, newRefusal(fleet.ReasonBadRequest, "the request target is not a valid path")
 	}
-	t := cat.match(decoded)
-	if t != cat.match(path.Clean(decoded)) {
-		return Routed{}, refuse(fleet.ReasonBadRequest, "the path is ambiguous")
+	t := cat.matchEntry(decoded)
+	if t != cat.matchEntry(path.Clean(decoded)) {
+		return Routed{}, newRefusal(fleet.ReasonBadRequest, "the path is ambiguous")
 	}
 	if t == nil {
-		return Routed{}, refuse(fleet.ReasonNoRoute, "no entry matches the path")
+		return Routed{}, newRefusal(fleet.ReasonNoRoute, "no entry matches the path")
 	}
-	keys := presented(r, rawQuery)
+	keys := presentedKeys(r, rawQuery)
 	out := Routed{Entry: t.entry, Service: t.service, Target: rawPath}
 	account, refusal := cat.authenticate(t, keys)
 	if refusal != nil {
 		return out, refusal
 	}
 	out.Account = account
-	s := newSearch(keys)
-	if s.found(rawPath) {
-		return out, refuse(fleet.ReasonBadRequest, "the path contains the caller key")
+	s := newKeySearch(keys)
+	if s.containsKey(rawPath) {
+		return out, newRefusal(fleet.ReasonBadRequest, "the path contains the caller key")
 	}
-	out.Header = s.header(r.Header)
+	out.Header = s.filterHeader(r.Header)
 	if hasQuery {
-		if rawQuery = s.query(rawQuery); rawQuery != "" {
+		if rawQuery = s.filterQuery(rawQuery); rawQuery != "" {
 			out.Target += "?" + rawQuery
 		}
 	}
-	// A key with a separator in it can stand across parameters.
-	if s.found(out.Target) {
-		return out, refuse(fleet.ReasonBadRequest, "the query contains the caller key")
+	// A key that contains a separator can extend over several parameters.
+	if s.containsKey(out.Target) {
+		return out, newRefusal(fleet.ReasonBadRequest, "the query contains the caller key")
 	}
 	if out.Key, refusal = routingKey(t.entry.RoutingKey, decoded, rawQuery, out.Header); refusal != nil {
 		return out, refusal
 	}
-	timeout, refusal := timeoutOf(t.service, r.Header)
+	timeout, refusal := requestTimeout(t.service, r.Header)
 	if refusal != nil {
 		return out, refusal
 	}
 	out.Deadline = now.Add(timeout)
 	out.Header.Set(fleet.HeaderDeadline, strconv.FormatInt(timeout.Milliseconds(), 10))
-	out.Limits = cat.bounds(t, account)
+	out.Limits = cat.requestLimits(t, account)
 	return out, nil
 }
 
-func (x *Index) authenticate(t *target, keys []string) (fleet.AccountID, *fleet.Refusal) {
+func (x *Index) authenticate(t *routeEntry, keys []string) (fleet.AccountID, *fleet.Refusal) {
 	if len(keys) > 1 {
-		return "", refuse(fleet.ReasonBadRequest, "the request presents different caller keys")
+		return "", newRefusal(fleet.ReasonBadRequest, "the request presents different caller keys")
 	}
 	var account fleet.AccountID
 	known := false
 	if len(keys) == 1 {
-		account, known = x.accounts[fleet.CallerKey(keys[0]).Hash()]
+		account, known = x.accountByKey[fleet.CallerKey(keys[0]).Hash()]
 	}
 	if t.entry.Open {
 		return account, nil
 	}
 	if !known {
-		return "", refuse(fleet.ReasonUnauthenticated, "the request has no valid caller key")
+		return "", newRefusal(fleet.ReasonUnauthenticated, "the request has no valid caller key")
 	}
 	if t.accounts != nil {
 		if _, ok := t.accounts[account]; !ok {
-			return "", refuse(fleet.ReasonForbidden, "the entry is not available to this account")
+			return "", newRefusal(fleet.ReasonForbidden, "the entry is not available to this account")
 		}
 	}
 	return account, nil
 }
 
-func (x *Index) bounds(t *target, account fleet.AccountID) []limit.Bounded {
+func (x *Index) requestLimits(t *routeEntry, account fleet.AccountID) []limit.Bounded {
 	var out []limit.Bounded
-	if l := x.limits[account]; account != "" && !l.Unlimited() {
+	if l := x.accountLimits[account]; account != "" && !l.Unlimited() {
 		out = append(out, limit.Bounded{ID: fleet.AccountLimit(account), Limit: l})
 	}
 	if l := t.entry.Limit; !l.Unlimited() {
@@ -229,8 +233,9 @@
 	return out
 }
 
-// timeoutOf returns the caller's timeout, at most the service's.
-func timeoutOf(s catalogue.Service, h http.Header) (time.Duration, *fleet.Refusal) {
+// requestTimeout returns the timeout that the caller requests, or that of the service if
+// it is shorter or the caller requests none.
+func requestTimeout(s catalogue.Service, h http.Header) (time.Duration, *fleet.Refusal) {
 	timeout := s.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -241,7 +246,7 @@
 	}
 	ms, err := strconv.ParseUint(values[0], 10, 63)
 	if err != nil || ms == 0 || len(values) > 1 {
-		return 0, refuse(fleet.ReasonBadRequest, fleet.HeaderDeadline+" is not a positive number of milliseconds")
+		return 0, newRefusal(fleet.ReasonBadRequest, fleet.HeaderDeadline+" is not a positive number of milliseconds")
 	}
 	if ms < uint64(timeout.Milliseconds()) {
 		timeout = time.Duration(ms) * time.Millisecond
@@ -249,9 +254,9 @@
 	return timeout, nil
 }
 
-// routingKey reads the key from what an upstream will see. Path segments count from
-// 0. Several different values are refused, since the upstream might use another one
-// than the router.
+// routingKey reads the routing key from the parts of the request that the upstream
+// receives. Path segments count from 0. A request with several different values is
+// refused, since the upstream might use another value than the router.
 func routingKey(src catalogue.KeySource, decoded, rawQuery string, h http.Header) (fleet.RoutingKey, *fleet.Refusal) {
 	var values []string
 	switch src.From {
@@ -273,30 +278,30 @@
 	values = slices.Compact(values)
 	switch {
 	case len(values) == 0 || values[0] == "":
-		return "", refuse(fleet.ReasonBadRequest, "the request has no routing key")
+		return "", newRefusal(fleet.ReasonBadRequest, "the request has no routing key")
 	case len(values) > 1:
-		return "", refuse(fleet.ReasonBadRequest, "the request has several routing keys")
-	case len(values[0]) > maxRoutingKey || !plainText(values[0]):
-		return "", refuse(fleet.ReasonBadRequest, "the routing key is too long or has control characters")
+		return "", newRefusal(fleet.ReasonBadRequest, "the request has several routing keys")
+	case len(values[0]) > maxRoutingKeyBytes || !hasNoControlChars(values[0]):
+		return "", newRefusal(fleet.ReasonBadRequest, "the routing key is too long or has control characters")
 	}
 	return fleet.RoutingKey(values[0]), nil
 }
 
-// plainText reports whether s has no control characters, which could end a header
-// line when the value is sent as one.
-func plainText(s string) bool {
+// hasNoControlChars reports whether s contains no control characters. In a header value
+// they could end the line.
+func hasNoControlChars(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f })
 }
 
-// hopByHop lists headers that belong to one connection, and those that the client
-// of the next connection sets by itself.
+// hopByHop lists the headers that apply to a single connection, and those that the HTTP
+// client of the next connection sets itself.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// StripHopByHop returns a copy of h without hop-by-hop headers and those that
-// Connection names.
+// StripHopByHop returns a copy of h without the hop-by-hop headers and without those that
+// its Connection header names.
 func StripHopByHop(h http.Header) http.Header {
 	out := maps.Clone(h)
 	if out == nil {
