--- a/internal/dispatch/control.go
+++ b/internal/dispatch/control.go
@@ -18,26 +18,26 @@
 
 // session is the state of the control calls to one upstream.
 //
-// leaseMin and leaseMax are the earliest and the latest possible end of the
-// upstream's lease, on the dispatcher's clock. The lease ends at stamp + TTL on
-// the upstream's clock. The upstream read the stamp between the sending of the
-// call that returned it and the receipt of the reply. An acknowledged renewal
-// therefore lasts at least until sent + TTL, and an unacknowledged one, which may
-// have arrived, at most until received + TTL.
+// earliestLeaseEnd and latestLeaseEnd bound the end of the upstream's lease on the
+// dispatcher's clock. The lease ends at stamp + TTL on the upstream's clock. The
+// upstream read the stamp between the sending of the call that returned it and the
+// receipt of the reply. An acknowledged renewal therefore lasts at least until
+// sent + TTL, and an unacknowledged one, which may have arrived, at most until
+// received + TTL.
 type session struct {
-	phase           phase
-	boot            fleet.BootID
-	stamp           clockReading
-	leaseMin        time.Time
-	leaseMax        time.Time
-	missedCalls     int
-	lost            bool
-	nextKeepalive   time.Time
-	keepalive       *pendingCall // pending hello or renewal
-	grantCall       *pendingCall
-	revokeCall      *pendingCall
-	bootKnown       bool // boot is known
-	previousRunning int  // running requests of previous dispatchers, as of the last reply
+	phase            phase
+	boot             fleet.BootID
+	stamp            clockReading
+	earliestLeaseEnd time.Time
+	latestLeaseEnd   time.Time
+	missedCalls      int
+	lost             bool
+	nextKeepalive    time.Time
+	keepalive        *pendingCall // pending hello or renewal
+	grantCall        *pendingCall
+	revokeCall       *pendingCall
+	bootKnown        bool // boot is known
+	previousRunning  int  // running requests of previous dispatchers, as of the last reply
 }
 
 // clockReading is a stamp of the upstream's clock with the times, on the
@@ -55,10 +55,10 @@
 	stamp clockReading // sent with a renewal
 }
 
-// restart returns to the hello phase. It keeps leaseMax, because a renewal that
+// restart returns to the hello phase. It keeps latestLeaseEnd, because a renewal that
 // was already sent may still extend the lease.
 func (s *session) restart(now time.Time) {
-	s.phase, s.missedCalls, s.leaseMin, s.nextKeepalive = phaseHello, 0, time.Time{}, now
+	s.phase, s.missedCalls, s.earliestLeaseEnd, s.nextKeepalive = phaseHello, 0, time.Time{}, now
 	s.keepalive, s.grantCall, s.revokeCall = nil, nil, nil
 }
 
@@ -68,7 +68,7 @@
 	if u.retired || u.session.phase != phaseActive || !u.previousExcluded(now) {
 		return false
 	}
-	return !u.duty.Fenced || now.Before(u.session.leaseMin)
+	return !u.duty.Fenced || now.Before(u.session.earliestLeaseEnd)
 }
 
 // previousExcluded reports whether the previous dispatcher can no longer start
@@ -83,7 +83,7 @@
 	if !t.hasAuthority(now) || s.phase == phaseSuperseded {
 		return
 	}
-	if u.duty.Fenced && s.phase == phaseActive && !now.Before(s.leaseMin) {
+	if u.duty.Fenced && s.phase == phaseActive && !now.Before(s.earliestLeaseEnd) {
 		t.endSession(now, u, "the lease may have expired")
 	}
 	if s.phase == phaseRevoke {
@@ -98,8 +98,8 @@
 		return
 	}
 	s.keepalive = t.sendControl(now, u, Call{Kind: Renew, Stamp: s.stamp.value, TTL: t.cfg.LeaseTTL})
-	if end := s.stamp.received.Add(t.cfg.LeaseTTL); end.After(s.leaseMax) {
-		s.leaseMax = end
+	if end := s.stamp.received.Add(t.cfg.LeaseTTL); end.After(s.latestLeaseEnd) {
+		s.latestLeaseEnd = end
 	}
 }
 
@@ -189,7 +189,7 @@
 		s.phase = phaseRevoke
 		return
 	}
-	s.leaseMin = c.stamp.sent.Add(t.cfg.LeaseTTL)
+	s.earliestLeaseEnd = c.stamp.sent.Add(t.cfg.LeaseTTL)
 	if s.phase != phaseActive {
 		s.phase = phaseActive
 		t.emitEvent(u, "up", "boot "+string(s.boot))
@@ -211,9 +211,9 @@
 
 // endSession returns to the hello phase. Every unit has to be granted again.
 func (t *Table) endSession(now time.Time, u *upstream, cause string) {
-	misses := u.session.missedCalls
+	missedCalls := u.session.missedCalls
 	u.session.restart(now)
-	u.session.missedCalls = misses
+	u.session.missedCalls = missedCalls
 	u.session.nextKeepalive = now.Add(t.cfg.ControlRetryInterval)
 	u.invalidateGrants()
 	t.emitEvent(u, "session-ended", cause)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -214,7 +214,7 @@
 	u.warmup.attemptSent(now, len(u.openAttempts))
 	startBy := earlier(r.Deadline, t.authorityUntil)
 	if u.duty.Fenced {
-		startBy = earlier(startBy, u.session.leaseMin)
+		startBy = earlier(startBy, u.session.earliestLeaseEnd)
 	}
 	t.emit(SendRequest{
 		ID: r.ID, Upstream: u.id, Address: u.duty.Address, Attempt: a.number, Unit: r.Unit,
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -115,8 +115,8 @@
 		return false
 	}
 	end := u.duty.Taken.Add(t.cfg.LeaseTTL)
-	if s.leaseMax.After(end) {
-		end = s.leaseMax
+	if s.latestLeaseEnd.After(end) {
+		end = s.latestLeaseEnd
 	}
 	return now.After(end.Add(clockDriftMargin))
 }
--- a/internal/dispatch/simulation_checks_test.go
+++ b/internal/dispatch/simulation_checks_test.go
@@ -89,10 +89,10 @@
 
 func (s *simulation) recordEnd(id fleet.RequestID, notRun, answer bool) {
 	r := s.requests[id]
-	r.ends++
-	r.notRun, r.answer = notRun, answer
-	if r.ends > 1 {
-		s.fatalf("%s ended %d times", id, r.ends)
+	r.endCount++
+	r.notRun, r.answered = notRun, answer
+	if r.endCount > 1 {
+		s.fatalf("%s ended %d times", id, r.endCount)
 	}
 }
 
@@ -100,9 +100,9 @@
 // the effect is under an older fence than the last one on the unit.
 func (s *simulation) recordEffect(a dispatch.SendRequest) {
 	r := s.requests[a.ID]
-	r.effects++
-	if r.effects > 1 && !r.req.Idempotent {
-		s.fatalf("non-idempotent request %s had %d effects", a.ID, r.effects)
+	r.effectCount++
+	if r.effectCount > 1 && !r.req.Idempotent {
+		s.fatalf("non-idempotent request %s had %d effects", a.ID, r.effectCount)
 	}
 	// An unfenced upstream may still complete requests of its previous dispatcher.
 	last := s.lastEffect[a.Unit]
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -59,9 +59,10 @@
 	openAttempts   map[[2]int]int // by dispatcher and upstream
 	confirmed      map[[2]int]*confirmation
 	lossyUntil     time.Time
-	lastEffect     map[fleet.Unit]dispatch.SendRequest // of the unit
+	lastEffect     map[fleet.Unit]dispatch.SendRequest // last effect on each unit
 }
 
+// event is a function that runs at a virtual time.
 type event struct {
 	at time.Time
 	do func()
@@ -69,11 +70,11 @@
 
 // revision is one version of the assignment.
 type revision struct {
-	dispatcher [simUpstreams]int
-	fence      [simUpstreams]fleet.Fence
-	since      [simUpstreams]int // first revision that names the dispatcher
-	units      [simUnits]assignment.Ownership
-	inForce    time.Time
+	dispatcher      [simUpstreams]int
+	fence           [simUpstreams]fleet.Fence
+	dispatcherSince [simUpstreams]int // first revision that names the dispatcher
+	units           [simUnits]assignment.Ownership
+	inForce         time.Time
 }
 
 // fakeUpstream is a simulated upstream.
@@ -86,20 +87,22 @@
 	running     map[*execution]bool
 }
 
+// execution is a request that runs at an upstream.
 type execution struct {
 	unit     fleet.Unit
 	deadline time.Time
 }
 
+// requestRecord is what the simulation has seen of one request.
 type requestRecord struct {
-	req     dispatch.Request
-	table   int
-	ends    int
-	notRun  bool
-	mayRun  bool // an attempt ended without proof that it never started
-	open    map[int]bool
-	effects int
-	answer  bool
+	req          dispatch.Request
+	table        int
+	endCount     int
+	notRun       bool
+	mayRun       bool // an attempt ended without proof that it never started
+	openAttempts map[int]bool
+	effectCount  int
+	answered     bool
 }
 
 func upID(i int) fleet.UpstreamID { return fleet.UpstreamID(fmt.Sprintf("u%d", i)) }
@@ -152,6 +155,8 @@
 	return time.Duration(s.rng.IntN(5000)) * time.Microsecond
 }
 
+// losesMessage reports whether the network loses a message: half of them are lost until
+// lossyUntil.
 func (s *simulation) losesMessage() bool { return s.now.Before(s.lossyUntil) && s.rng.IntN(2) == 0 }
 
 func (s *simulation) run(d time.Duration) {
@@ -188,11 +193,11 @@
 	}
 	for i := range s.revisions {
 		r := &s.revisions[i]
-		allCaughtUp := r.inForce.IsZero()
+		inForce := r.inForce.IsZero()
 		for k := range s.tables {
-			allCaughtUp = allCaughtUp && (s.knownRevision[k] >= i || !s.now.Before(s.authorityUntil[k]))
+			inForce = inForce && (s.knownRevision[k] >= i || !s.now.Before(s.authorityUntil[k]))
 		}
-		if allCaughtUp {
+		if inForce {
 			r.inForce = s.now
 			for k := range s.tables {
 				s.assign(k)
@@ -201,6 +206,7 @@
 	}
 }
 
+// learnLatest gives dispatcher k the newest revision.
 func (s *simulation) learnLatest(k int) {
 	s.knownRevision[k] = len(s.revisions) - 1
 	s.assign(k)
@@ -215,7 +221,7 @@
 		}
 		d := dispatch.Duty{
 			Upstream: upID(i), Service: "s", Address: string(upID(i)), Fence: r.fence[i], Slots: simSlots, ColdSlots: 1,
-			Fenced: s.fenced, Timeout: simTimeout, Taken: s.revisions[r.since[i]].inForce,
+			Fenced: s.fenced, Timeout: simTimeout, Taken: s.revisions[r.dispatcherSince[i]].inForce,
 		}
 		for _, o := range r.units {
 			if o.Owner == d.Upstream || slices.Contains(o.Previous, d.Upstream) {
@@ -260,7 +266,7 @@
 func (s *simulation) changeDispatcher(up, to int) {
 	s.plan(func(r *revision) {
 		s.lastFence++
-		r.dispatcher[up], r.fence[up], r.since[up] = to, s.lastFence, len(s.revisions)
+		r.dispatcher[up], r.fence[up], r.dispatcherSince[up] = to, s.lastFence, len(s.revisions)
 	})
 }
 
@@ -281,15 +287,15 @@
 	do()
 }
 
-func (s *simulation) submit(n, unit, via int, idempotent bool, timeout time.Duration) {
-	r := s.revisions[s.knownRevision[via]]
+func (s *simulation) submit(n, unit, instance int, idempotent bool, timeout time.Duration) {
+	r := s.revisions[s.knownRevision[instance]]
 	owner := r.units[unit].Owner
 	k := r.dispatcher[int(owner[1]-'0')]
 	req := dispatch.Request{
 		ID: fleet.RequestID(fmt.Sprintf("r%d", n)), Account: fleet.AccountID(fmt.Sprintf("a%d", n%3)), Unit: unitOf(unit),
 		Key: "k", Upstream: owner, Idempotent: idempotent, Deadline: s.now.Add(timeout),
 	}
-	s.requests[req.ID] = &requestRecord{req: req, table: k, open: make(map[int]bool)}
+	s.requests[req.ID] = &requestRecord{req: req, table: k, openAttempts: make(map[int]bool)}
 	s.execute(k, s.tables[k].Submit(s.now, req))
 }
 
@@ -323,7 +329,7 @@
 		s.fatalf("%s: %d open attempts at %s, limit %d", a.ID, s.openAttempts[pair], a.Upstream, limit)
 	case !s.now.Before(s.authorityUntil[k]) || a.StartBy.After(s.authorityUntil[k]) || a.StartBy.After(a.Deadline) || !s.now.Before(a.StartBy):
 		s.fatalf("%s: sent at %v with start-by time %v, authority until %v", a.ID, s.now, a.StartBy, s.authorityUntil[k])
-	case !r.req.Idempotent && (r.mayRun || len(r.open) > 0):
+	case !r.req.Idempotent && (r.mayRun || len(r.openAttempts) > 0):
 		s.fatalf("%s: non-idempotent request sent again", a.ID)
 	case s.assignedFence(k, a) != a.Fence:
 		s.fatalf("%s: sent with fence %d, assigned %d", a.ID, a.Fence, s.assignedFence(k, a))
@@ -331,7 +337,7 @@
 	if s.fenced {
 		s.checkConfirmed(pair, a)
 	}
-	r.open[a.Attempt] = true
+	r.openAttempts[a.Attempt] = true
 	boot := s.upstreams[up].boot
 	s.schedule(a.Deadline.Sub(s.now), func() { s.done(k, a.ID, a.Attempt, dispatch.Result{Kind: dispatch.TimedOut}) })
 	if s.losesMessage() {
@@ -384,15 +390,15 @@
 	})
 }
 
-func (s *simulation) done(k int, id fleet.RequestID, n int, res dispatch.Result) {
+func (s *simulation) done(k int, id fleet.RequestID, attempt int, res dispatch.Result) {
 	r := s.requests[id]
-	if !r.open[n] {
+	if !r.openAttempts[attempt] {
 		return
 	}
-	delete(r.open, n)
+	delete(r.openAttempts, attempt)
 	s.openAttempts[[2]int{k, int(r.req.Upstream[1] - '0')}]--
 	r.mayRun = r.mayRun || res.Kind.Ran()
-	s.execute(k, s.tables[k].Done(s.now, id, n, res))
+	s.execute(k, s.tables[k].Done(s.now, id, attempt, res))
 }
 
 func (s *simulation) control(k int, a dispatch.SendControl) {
@@ -502,18 +508,18 @@
 		}
 		s.run(3 * time.Second)
 		for id, r := range s.requests {
-			if r.ends != 1 || len(r.open) > 0 {
-				s.fatalf("%s ended %d times, %d open attempts", id, r.ends, len(r.open))
+			if r.endCount != 1 || len(r.openAttempts) > 0 {
+				s.fatalf("%s ended %d times, %d open attempts", id, r.endCount, len(r.openAttempts))
 			}
-			if r.notRun && r.effects > 0 {
+			if r.notRun && r.effectCount > 0 {
 				s.fatalf("%s was refused as not run but had an effect", id)
 			}
-			if r.answer {
+			if r.answered {
 				answered++
 			}
 		}
 		for i := range simUnits {
-			if s.requests[fleet.RequestID(fmt.Sprintf("r%d", 1000+i))].answer {
+			if s.requests[fleet.RequestID(fmt.Sprintf("r%d", 1000+i))].answered {
 				answeredAfterFaults++
 			}
 		}
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -293,7 +293,7 @@
 		if !u.duty.Fenced || u.retired || u.session.phase != phaseActive {
 			continue
 		}
-		if d := u.session.leaseMin.Sub(now); !found || d < left {
+		if d := u.session.earliestLeaseEnd.Sub(now); !found || d < left {
 			left, found = d, true
 		}
 	}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -39,7 +39,7 @@
 	homes         []*Home
 	authorityEnds []time.Time // when each home lost its authority; zero: it still has it
 	messages      []message
-	admitted      []time.Time
+	admissions    []time.Time
 }
 
 type limitChange struct {
@@ -63,7 +63,7 @@
 	for range rapid.SampledFrom([]int{1, 2, 5, 250}).Draw(r.t, "requests") {
 		switch d := r.holders[i].Admit(r.now.Add(r.skew[i]), []Bounded{{ID: id, Limit: r.limit()}}).(type) {
 		case Admitted:
-			r.admitted = append(r.admitted, r.now)
+			r.admissions = append(r.admissions, r.now)
 		case Need:
 			r.send(i, d.Calls)
 		}
@@ -182,7 +182,7 @@
 func (r *randomRun) checkWindows() {
 	var at []time.Time
 	var count []int
-	for _, t := range r.admitted {
+	for _, t := range r.admissions {
 		if n := len(at); n > 0 && at[n-1].Equal(t) {
 			count[n-1]++
 			continue
