--- a/internal/dispatch/control.go
+++ b/internal/dispatch/control.go
@@ -6,6 +6,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
+// phase is the state of a session.
 type phase uint8
 
 const (
@@ -31,13 +32,13 @@
 	earliestLeaseEnd time.Time
 	latestLeaseEnd   time.Time
 	missedCalls      int
-	lost             bool
+	lost             bool // MaxMissedCalls were missed in a row, and no renewal was answered since
 	nextKeepalive    time.Time
 	keepalive        *pendingCall // pending hello or renewal
 	grantCall        *pendingCall
 	revokeCall       *pendingCall
-	bootKnown        bool // boot is known
-	previousRunning  int  // running requests of previous dispatchers, as of the last reply
+	bootKnown        bool
+	previousRunning  int // running requests of previous dispatchers, as of the last reply
 }
 
 // clockReading is a stamp of the upstream's clock with the times, on the
--- a/internal/dispatch/grants.go
+++ b/internal/dispatch/grants.go
@@ -9,6 +9,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
+// unitState is how far the grant or the release of a unit at an upstream has advanced.
 type unitState uint8
 
 const (
--- a/internal/limit/holder.go
+++ b/internal/limit/holder.go
@@ -218,7 +218,7 @@
 // limitState is the state of one limit: its leases, the call in flight and the demand.
 type limitState struct {
 	limit     fleet.Limit
-	lastAdmit time.Time    // time of the last Admit
+	lastAdmit time.Time
 	leases    []lease      // in order of arrival and of spending; none is empty
 	tokens    fleet.Tokens // unspent tokens of all leases
 
