--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -1,12 +1,13 @@
-// Package http1 speaks HTTP/1.1 on nbhttp: a client with one pool of
-// connections per address, and a server.
+// Package http1 implements an HTTP/1.1 server and client on nbhttp, and a second
+// client, Transport, on net/http's parser.
 //
-// The client carries one request at a time on a connection. It keeps two
-// failures apart, because refusals depend on it: a NotSentError means that no
-// byte of the request was written, a LostError that the peer may have received
-// it. A connection whose request did not end with a whole answer is closed and
-// never used again. An answer without framing (neither a length nor chunks) is
-// an error, since its end cannot be told from a cut.
+// The clients keep one connection pool per address and send one request at a time
+// on a connection. They distinguish two failures, because the outcome of a refusal
+// depends on it: NotSentError means that no byte of the request was written,
+// LostError that the peer may have received the request. A connection whose request
+// did not end with a complete response is closed and not reused. Pool rejects a
+// response with neither Content-Length nor chunked encoding, because the end of such
+// a response cannot be distinguished from a truncated one.
 package http1
 
 import (
@@ -28,11 +29,12 @@
 )
 
 func init() {
-	// nbio logs connection resets, which are routine here, at error level.
+	// nbio logs connection resets, which are expected in normal operation, at error
+	// level.
 	logging.SetLevel(logging.LevelNone)
 }
 
-// Client is a group of pools that close together.
+// Client is a set of connection pools that are closed together.
 type Client struct {
 	engine *nbhttp.Engine
 
@@ -40,20 +42,20 @@
 	pools []*Pool
 }
 
-// sharedEngine starts the event loops of all clients of the process. They are
-// never stopped: nbio loses a Stop that comes before its pollers run, and then
-// waits for ever.
+// sharedEngine starts the event loops that all clients of the process share. The
+// engine is never stopped: nbio ignores a Stop call made before its pollers run and
+// then blocks forever.
 var sharedEngine = sync.OnceValues(func() (*nbhttp.Engine, error) {
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Name: "http1-client", SupportServerOnly: true,
-		// Not in the event loop: nbio runs the end of a connection that closes
-		// meanwhile after the answer's handler, and that locks the parser, which the
-		// event loop holds. The event loop would wait for itself.
+		// Response handlers run outside the event loop. If a connection closes while its
+		// handler runs, nbio runs the close callback after the handler; the callback locks
+		// the parser, which the event loop holds, so the event loop would deadlock.
 		ServerExecutor: func(f func()) { go f() },
 	})
-	// nbio duplicates descriptors without close-on-exec. A child process that
-	// inherits one keeps its events coming after it was closed here, and they close
-	// each new connection that gets its number.
+	// nbio duplicates descriptors without close-on-exec. If a child process inherits
+	// one, epoll still delivers events for it after this process has closed it, and
+	// these events close any new connection with the same descriptor number.
 	engine.Engine.OnOpen(func(c *nbio.Conn) { syscall.CloseOnExec(c.Hash()) })
 	if err := engine.Start(); err != nil {
 		return nil, errors.Wrap(err, "start client engine")
@@ -70,7 +72,7 @@
 	return &Client{engine: engine}, nil
 }
 
-// Close closes every pool.
+// Close closes all pools.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,16 +82,16 @@
 	c.pools = nil
 }
 
-// Request is an HTTP request with its whole body.
+// Request is an HTTP request with its complete body.
 type Request struct {
 	Method string
 	Target string // path and query as on the request line
-	Host   string // Host header; the address of the pool if empty
+	Host   string // Host header; if empty, the address that the request is sent to
 	Header http.Header
 	Body   []byte
 }
 
-// Response is an HTTP answer that has arrived whole.
+// Response is an HTTP response with its complete body.
 type Response struct {
 	Status  int
 	Header  http.Header
@@ -108,8 +110,8 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError reports a request that may have been received although no whole
-// answer arrived.
+// LostError reports a request without a complete response that the peer may have
+// received.
 type LostError struct {
 	Addr string
 	Err  error
@@ -120,18 +122,18 @@
 // Unwrap returns the cause.
 func (e *LostError) Unwrap() error { return e.Err }
 
-// Causes inside a NotSentError or LostError.
+// Errors that a NotSentError or LostError wraps.
 var (
-	ErrPoolFull   = errors.New("every connection is in use")
-	ErrPoolClosed = errors.New("pool is closed")
-	ErrUnframed   = errors.New("answer has neither a length nor chunks")
+	ErrPoolFull   = errors.New("all connections of the pool are in use")
+	ErrPoolClosed = errors.New("connection pool is closed")
+	ErrUnframed   = errors.New("response has neither Content-Length nor chunked encoding")
 )
 
-// PoolConfig bounds a pool.
+// PoolConfig sets the limits of a pool.
 type PoolConfig struct {
-	MaxConns    int           // connections open at once; 0 means 128
+	MaxConns    int           // open connections; 0 means 128
 	DialTimeout time.Duration // 0 means 500 ms
-	IdleTimeout time.Duration // an idle connection is closed after this; 0 means 30 s
+	IdleTimeout time.Duration // time after which an idle connection is not reused; 0 means 30 s
 }
 
 const (
@@ -140,7 +142,7 @@
 	defaultIdleTimeout = 30 * time.Second
 )
 
-// Pool keeps connections to one address.
+// Pool is a connection pool for one address.
 type Pool struct {
 	client *Client
 	addr   string
@@ -148,11 +150,11 @@
 
 	mu     sync.Mutex
 	idle   []*conn // most recently used last
-	open   map[*conn]struct{}
+	conns  map[*conn]struct{}
 	closed bool
 }
 
-// NewPool returns a pool for addr ("IP:port"). It opens no connection yet.
+// NewPool returns a pool for addr ("IP:port"). Connections are opened on demand.
 func (c *Client) NewPool(addr string, cfg PoolConfig) *Pool {
 	if cfg.MaxConns <= 0 {
 		cfg.MaxConns = defaultMaxConns
@@ -163,50 +165,50 @@
 	if cfg.IdleTimeout <= 0 {
 		cfg.IdleTimeout = defaultIdleTimeout
 	}
-	p := &Pool{client: c, addr: addr, cfg: cfg, open: make(map[*conn]struct{})}
+	p := &Pool{client: c, addr: addr, cfg: cfg, conns: make(map[*conn]struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pools = append(c.pools, p)
 	return p
 }
 
-func (c *Client) forget(p *Pool) {
+func (c *Client) removePool(p *Pool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pools = slices.DeleteFunc(c.pools, func(q *Pool) bool { return q == p })
 }
 
-// Addr returns the address of the pool.
+// Addr returns the address that the pool connects to.
 func (p *Pool) Addr() string { return p.addr }
 
-// Close closes every connection; requests in flight end with a LostError.
+// Close closes all connections; requests in flight fail with a LostError.
 func (p *Pool) Close() {
-	go p.client.forget(p) // Client.Close holds the client's lock
+	go p.client.removePool(p) // not synchronously: Client.Close holds the client's lock
 	p.mu.Lock()
 	p.closed = true
-	open := make([]*conn, 0, len(p.open))
-	for c := range p.open {
-		open = append(open, c)
+	conns := make([]*conn, 0, len(p.conns))
+	for c := range p.conns {
+		conns = append(conns, c)
 	}
 	p.idle = nil
 	p.mu.Unlock()
-	for _, c := range open {
+	for _, c := range conns {
 		c.close(ErrPoolClosed)
 	}
 }
 
-// Retire closes the idle connections now and the others after their requests.
-// Further requests are not sent.
+// Retire closes the idle connections immediately and the others once their requests
+// have ended. Later calls of Do fail with a NotSentError.
 func (p *Pool) Retire() {
-	p.client.forget(p)
+	p.client.removePool(p)
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
 	p.CloseIdle()
 }
 
-// CloseIdle closes the idle connections, for use when the peer went silent on
-// one of them.
+// CloseIdle closes the idle connections. Callers use it when the peer has not
+// responded on one connection, because the others may be dead as well.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -217,20 +219,21 @@
 	}
 }
 
-// Do sends req and waits for the whole answer or the end of ctx. The error is a
-// *NotSentError or a *LostError.
+// Do sends req and waits for the complete response or the end of ctx. The error is
+// a *NotSentError or a *LostError.
 func (p *Pool) Do(ctx context.Context, req *Request) (*Response, error) {
 	for attempt := 1; ; attempt++ {
-		res, err := p.try(ctx, req)
+		res, err := p.doOnce(ctx, req)
 		if attempt == maxAttempts || !closedBeforeWrite(err) {
 			return res, err
 		}
 	}
 }
 
-// maxAttempts bounds the attempts to find an open connection. nbio closes an idle
-// connection a moment before it says so; and an event for a connection that was
-// just closed can close another one that got its file descriptor.
+// maxAttempts limits how often Do tries another connection when the one that it took
+// was already closed. nbio closes an idle connection shortly before it reports the
+// close, and an event for a closed connection can close a new connection that reuses
+// its file descriptor.
 const maxAttempts = 3
 
 func closedBeforeWrite(err error) bool {
@@ -238,7 +241,7 @@
 	return errors.As(err, &notSent) && (errors.Is(err, net.ErrClosed) || errors.Is(err, nbhttp.ErrClientClosed))
 }
 
-func (p *Pool) try(ctx context.Context, req *Request) (*Response, error) {
+func (p *Pool) doOnce(ctx context.Context, req *Request) (*Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Addr: p.addr, Err: err}
 	}
@@ -246,19 +249,21 @@
 	if err != nil {
 		return nil, &NotSentError{Addr: p.addr, Err: err}
 	}
-	c, err := p.get()
+	c, err := p.acquire()
 	if err != nil {
 		return nil, &NotSentError{Addr: p.addr, Err: err}
 	}
-	return c.do(ctx, httpReq, req.size() <= oneWrite)
+	return c.do(ctx, httpReq, req.encodedSizeBound() <= maxAtomicSize)
 }
 
-// oneWrite is below the buffer of net/http's Request.Write, so that a request of
-// this size is written at once or not at all.
-const oneWrite = 3 << 10
+// maxAtomicSize is the size in bytes up to which a request is written with a single
+// write, and so either completely or not at all. It is below the buffer size of
+// net/http's Request.Write.
+const maxAtomicSize = 3 << 10
 
-// size returns the bytes of the request, or a little more.
-func (r *Request) size() int {
+// encodedSizeBound returns an upper bound for the size of the encoded request in
+// bytes.
+func (r *Request) encodedSizeBound() int {
 	n := len(r.Method) + len(r.Target) + len(r.Host) + len(r.Body) + 128
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -279,7 +284,7 @@
 		header = http.Header{}
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = []string{""} // net/http would add its own
+		header["User-Agent"] = []string{""} // prevents net/http from adding its default
 	}
 	r := &http.Request{
 		Method: req.Method, URL: u, Host: req.Host, Header: header,
@@ -292,46 +297,46 @@
 	return r, nil
 }
 
-func (p *Pool) get() (*conn, error) {
+func (p *Pool) acquire() (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, ErrPoolClosed
 	}
-	p.closeStale(time.Now())
+	p.closeExpired(time.Now())
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		if c.usable() {
 			return c, nil
 		}
-		delete(p.open, c)
-		go c.cc.CloseWithError(io.EOF)
+		delete(p.conns, c)
+		go c.nbConn.CloseWithError(io.EOF)
 	}
-	if len(p.open) >= p.cfg.MaxConns {
+	if len(p.conns) >= p.cfg.MaxConns {
 		return nil, ErrPoolFull
 	}
 	c := newConn(p)
-	p.open[c] = struct{}{}
+	p.conns[c] = struct{}{}
 	return c, nil
 }
 
-// closeStale closes connections that were idle for too long. nbhttp's own idle
-// timeout stays armed during the next request and would cut it. The caller holds
-// mu.
-func (p *Pool) closeStale(now time.Time) {
+// closeExpired closes the connections whose idle timeout has expired. It replaces
+// nbhttp's idle timeout, which is not disarmed by the next request and would abort
+// it. The caller holds mu.
+func (p *Pool) closeExpired(now time.Time) {
 	for len(p.idle) > 0 && now.Sub(p.idle[0].idleSince) >= p.cfg.IdleTimeout {
 		c := p.idle[0]
 		p.idle = p.idle[1:]
-		delete(p.open, c)
-		go c.cc.CloseWithError(io.EOF)
+		delete(p.conns, c)
+		go c.nbConn.CloseWithError(io.EOF)
 	}
 }
 
-func (p *Pool) put(c *conn) {
+func (p *Pool) release(c *conn) {
 	p.mu.Lock()
-	_, open := p.open[c]
-	keep := open && !p.closed
+	_, registered := p.conns[c]
+	keep := registered && !p.closed
 	if keep {
 		c.idleSince = time.Now()
 		p.idle = append(p.idle, c)
@@ -342,11 +347,11 @@
 	}
 }
 
-// drop forgets a closed connection.
-func (p *Pool) drop(c *conn) {
+// remove removes a closed connection from the pool.
+func (p *Pool) remove(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, c)
+	delete(p.conns, c)
 	for i, d := range p.idle {
 		if d == c {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
@@ -355,20 +360,20 @@
 	}
 }
 
-// conn carries one request at a time.
+// conn is a pooled connection, which serves one request at a time.
 type conn struct {
 	pool   *Pool
-	cc     *nbhttp.ClientConn
-	dialed bool // written before the request is, read after its end
-	// nc is the connection below, known from the first answer on.
-	nc interface{ IsClosed() (bool, error) }
+	nbConn *nbhttp.ClientConn
+	dialed bool // set before the request is written, read after the request has ended
+	// netConn is the underlying connection; nil before the first response.
+	netConn interface{ IsClosed() (bool, error) }
 
-	idleSince time.Time // guarded by the pool
+	idleSince time.Time // guarded by pool.mu
 }
 
 func newConn(p *Pool) *conn {
 	c := &conn{pool: p}
-	c.cc = &nbhttp.ClientConn{
+	c.nbConn = &nbhttp.ClientConn{
 		Engine: p.client.engine,
 		Dial: func(network, addr string) (net.Conn, error) {
 			nc, err := net.DialTimeout(network, addr, p.cfg.DialTimeout)
@@ -376,16 +381,16 @@
 			return nc, err
 		},
 	}
-	c.cc.OnClose(func() { p.drop(c) })
+	c.nbConn.OnClose(func() { p.remove(c) })
 	return c
 }
 
-// usable reports whether the connection was not seen to close.
+// usable reports whether the connection is not known to be closed.
 func (c *conn) usable() bool {
-	if c.nc == nil {
+	if c.netConn == nil {
 		return true
 	}
-	closed, _ := c.nc.IsClosed()
+	closed, _ := c.netConn.IsClosed()
 	return !closed
 }
 
@@ -394,29 +399,30 @@
 	err error
 }
 
-// do sends req. If atomic, the request is written at once or not at all.
+// do sends req and waits for its response or the end of ctx. atomic states that req
+// is written with a single write, so that a failed write sent nothing.
 func (c *conn) do(ctx context.Context, req *http.Request, atomic bool) (*Response, error) {
 	done := make(chan result, 1)
 	send := func() {
-		c.cc.Do(req, func(res *http.Response, nc net.Conn, err error) {
+		c.nbConn.Do(req, func(res *http.Response, nc net.Conn, err error) {
 			if err != nil {
 				done <- result{err: c.classify(err, atomic)}
 				return
 			}
-			c.nc, _ = nc.(interface{ IsClosed() (bool, error) })
-			whole, err := readWhole(req.Method, res)
+			c.netConn, _ = nc.(interface{ IsClosed() (bool, error) })
+			copied, err := copyResponse(req.Method, res)
 			if err != nil {
 				err = &LostError{Addr: c.pool.addr, Err: err}
 			}
-			done <- result{res: whole, err: err}
+			done <- result{res: copied, err: err}
 		})
 	}
 	if c.dialed {
 		send()
 	} else {
-		go func() { // Do blocks while it dials
-			// No child process may be forked between the duplication of the descriptor
-			// and OnOpen.
+		go func() { // nbhttp's Do blocks while it dials
+			// The fork lock keeps a child process from inheriting the duplicated descriptor
+			// before OnOpen sets close-on-exec.
 			syscall.ForkLock.RLock()
 			defer syscall.ForkLock.RUnlock()
 			send()
@@ -428,7 +434,7 @@
 			c.close(io.EOF)
 			return r.res, r.err
 		}
-		c.pool.put(c)
+		c.pool.release(c)
 		return r.res, nil
 	case <-ctx.Done():
 		c.close(ctx.Err())
@@ -436,9 +442,10 @@
 	}
 }
 
-// classify runs in the handler, after the dial has ended. ErrClientClosed comes
-// before the write, net.ErrClosed from a write on a connection that was closed
-// already; a connection that closes later ends with another error.
+// classify returns the NotSentError or LostError for a failed request. It runs in
+// the response handler, after the dial. nbhttp returns ErrClientClosed before it
+// writes, and net.ErrClosed from a write on a connection that was already closed; a
+// connection that closes later yields another error.
 func (c *conn) classify(err error, atomic bool) error {
 	if !c.dialed || errors.Is(err, nbhttp.ErrClientClosed) || atomic && errors.Is(err, net.ErrClosed) {
 		return &NotSentError{Addr: c.pool.addr, Err: err}
@@ -446,28 +453,28 @@
 	return &LostError{Addr: c.pool.addr, Err: err}
 }
 
-// close does not wait: nbhttp holds the connection's lock while it dials or
-// calls a handler.
+// close removes the connection from its pool and closes it asynchronously, because
+// nbhttp holds the connection's lock while it dials or runs a handler.
 func (c *conn) close(err error) {
-	c.pool.drop(c)
-	go c.cc.CloseWithError(err)
+	c.pool.remove(c)
+	go c.nbConn.CloseWithError(err)
 }
 
-// readWhole copies the answer, since nbhttp reuses it after the handler.
-func readWhole(method string, res *http.Response) (*Response, error) {
+// copyResponse copies a response, because nbhttp reuses it after the handler returns.
+func copyResponse(method string, res *http.Response) (*Response, error) {
 	framed := res.ContentLength >= 0 || len(res.Header["Transfer-Encoding"]) > 0
 	bodiless := method == http.MethodHead || res.StatusCode == http.StatusNoContent || res.StatusCode == http.StatusNotModified
 	if !framed && !bodiless {
 		return nil, ErrUnframed
 	}
-	out := &Response{Status: res.StatusCode, Header: res.Header, Trailer: res.Trailer}
+	copied := &Response{Status: res.StatusCode, Header: res.Header, Trailer: res.Trailer}
 	if res.Body == nil {
-		return out, nil
+		return copied, nil
 	}
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response body")
 	}
-	out.Body = body
-	return out, nil
+	copied.Body = body
+	return copied, nil
 }
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -12,8 +12,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Guards against a caller that sends request after request without waiting, and so
-// keeps its connection open until the server cuts its last one.
+// Guards against a caller that keeps pipelining requests while the server drains:
+// it would hold its connection open until the server stops and aborts its last
+// requests.
 func TestDrainTakesNothingBehindARequest(t *testing.T) {
 	release := make(chan struct{})
 	var ran atomic.Int32
@@ -32,7 +33,7 @@
 	waitFor(t, func() bool { return ran.Load() == 1 })
 	s.Drain()
 	_, _ = io.WriteString(c, get+get)
-	time.AfterFunc(50*time.Millisecond, func() { close(release) }) // the two have been read by then
+	time.AfterFunc(50*time.Millisecond, func() { close(release) }) // by then the server has read both requests
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	r := bufio.NewReader(c)
 	res, err := http.ReadResponse(r, nil)
@@ -41,18 +42,18 @@
 	}
 	body, err := io.ReadAll(res.Body)
 	if err != nil || string(body) != "done" || !res.Close {
-		t.Errorf("answer %q, %v, closes: %t", body, err, res.Close)
+		t.Errorf("response %q, error %v, Connection: close %t", body, err, res.Close)
 	}
 	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the answer: %v, want the end of the connection", err)
+		t.Errorf("read after the response: %v, want io.EOF", err)
 	}
 	if n := ran.Load(); n != 1 {
 		t.Errorf("%d requests ran, want 1", n)
 	}
 }
 
-// Guards against a connection that is closed as idle although a request was read on it,
-// whose goroutine has not started yet.
+// Guards against a shutdown that closes a connection as idle although a request was
+// read from it whose goroutine has not started yet.
 func TestCloseIdleSparesArrivedRequest(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
 	res, err := http.Get("http://" + s.Addr())
@@ -61,29 +62,30 @@
 	}
 	_, _ = io.ReadAll(res.Body)
 	_ = res.Body.Close()
-	conn := soleIdle(t, s)
+	conn := waitForOnlyConn(t, s)
 	s.mu.Lock()
-	pipe := s.pipes[conn]
+	pipe := s.pipelines[conn]
 	s.mu.Unlock()
 	waitFor(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return pipe.running == 0
+		return pipe.inFlight == 0
 	})
 	s.mu.Lock()
-	pipe.running = 1
+	pipe.inFlight = 1
 	s.mu.Unlock()
 	later := time.Now().Add(time.Minute)
 	s.closeIdle(later, later.Add(-time.Minute))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing[conn] {
-		t.Error("the connection was closed")
+		t.Error("connection with an arrived request was closed as idle")
 	}
 }
 
-// Guards against a request that gets no answer since it comes just after the answer to
-// the one before, whose goroutine has not ended.
+// Guards against a draining server that rejects a request as pipelined because it
+// arrives just after the previous response, before the goroutine of that request has
+// ended.
 func TestDrainAnswersAfterAnAnswer(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
 	c, err := net.Dial("tcp", s.Addr())
@@ -93,7 +95,7 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	r := bufio.NewReader(c)
-	ask := func() *http.Response {
+	get := func() *http.Response {
 		t.Helper()
 		_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		res, err := http.ReadResponse(r, nil)
@@ -103,14 +105,14 @@
 		_, _ = io.ReadAll(res.Body)
 		return res
 	}
-	ask()
-	conn := soleIdle(t, s)
+	get()
+	conn := waitForOnlyConn(t, s)
 	s.mu.Lock()
-	pipe := s.pipes[conn]
-	pipe.running++ // as before its goroutine ends
+	pipe := s.pipelines[conn]
+	pipe.inFlight++ // as if the goroutine of the first request had not ended
 	s.mu.Unlock()
 	s.Drain()
-	if res := ask(); res.StatusCode != http.StatusOK || !res.Close {
-		t.Errorf("status %d, closes: %t", res.StatusCode, res.Close)
+	if res := get(); res.StatusCode != http.StatusOK || !res.Close {
+		t.Errorf("status %d, Connection: close %t", res.StatusCode, res.Close)
 	}
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -38,7 +38,8 @@
 	return s
 }
 
-// Guards against answers that lose their body, status or connection reuse.
+// Guards against responses with a wrong body, status or target, and against
+// connections that are not reused.
 func TestRoundTrip(t *testing.T) {
 	remotes := make(map[string]bool)
 	s := listen(t, func(w http.ResponseWriter, r *http.Request) {
@@ -60,23 +61,23 @@
 		}
 	}
 	if len(remotes) != 1 {
-		t.Errorf("connections = %d, want 1", len(remotes))
+		t.Errorf("%d connections, want 1", len(remotes))
 	}
 }
 
-// Guards against a cut or unframed answer that is passed on as a success, and
+// Guards against a truncated or unframed response that is returned as a success, and
 // against a sent request that is reported as not sent.
 func TestBrokenAnswers(t *testing.T) {
 	tests := map[string]string{
-		"cut in the body":   "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-		"cut in a chunk":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nA\r\nhalf",
-		"unframed":          "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody",
-		"no answer":         "",
-		"cut in the header": "HTTP/1.1 200 OK\r\nContent-",
+		"truncated body":   "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
+		"truncated chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nA\r\nhalf",
+		"unframed":         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody",
+		"no response":      "",
+		"truncated header": "HTTP/1.1 200 OK\r\nContent-",
 	}
 	for name, answer := range tests {
 		t.Run(name, func(t *testing.T) {
-			addr := rawServer(t, answer)
+			addr := listenRaw(t, answer)
 			res, err := newPool(t, addr).Do(t.Context(), &Request{Method: "GET", Target: "/"})
 			var lost *LostError
 			if !errors.As(err, &lost) {
@@ -86,8 +87,9 @@
 	}
 }
 
-// rawServer answers every request with the given bytes and closes.
-func rawServer(t *testing.T, answer string) string {
+// listenRaw starts a server that answers the first request of each connection with
+// the given bytes and closes the connection. It returns the server's address.
+func listenRaw(t *testing.T, response string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,14 +103,14 @@
 				return
 			}
 			_, _ = c.Read(make([]byte, 4096))
-			_, _ = io.WriteString(c, answer)
+			_, _ = io.WriteString(c, response)
 			_ = c.Close()
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// Guards against a refused connection that is reported as perhaps received.
+// Guards against a refused connection that is reported as a LostError.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	s := listen(t, func(http.ResponseWriter, *http.Request) {})
 	addr := s.Addr()
@@ -120,8 +122,8 @@
 	}
 }
 
-// Guards against a caller's disconnect that does not reach the handler, and
-// against a shutdown that cuts a request in flight.
+// Guards against a caller's disconnect that does not cancel the handler's context,
+// and against a shutdown that aborts a request in flight.
 func TestCancelAndShutdown(t *testing.T) {
 	started, cancelled := make(chan bool, 2), make(chan bool, 1)
 	release := make(chan bool)
@@ -143,14 +145,14 @@
 	}
 	<-cancelled
 
-	answer := make(chan string, 1)
+	response := make(chan string, 1)
 	go func() {
 		res, err := p.Do(t.Context(), &Request{Method: "GET", Target: "/slow"})
 		if err != nil {
-			answer <- err.Error()
+			response <- err.Error()
 			return
 		}
-		answer <- string(res.Body)
+		response <- string(res.Body)
 	}()
 	<-started
 	stopped := make(chan error, 1)
@@ -160,7 +162,7 @@
 		stopped <- s.Shutdown(ctx)
 	}()
 	release <- true
-	if diff := cmp.Diff("whole", <-answer); diff != "" {
+	if diff := cmp.Diff("whole", <-response); diff != "" {
 		t.Error(diff)
 	}
 	if err := <-stopped; err != nil {
@@ -168,10 +170,10 @@
 	}
 }
 
-// Guards against a shutdown that waits for as long as a caller keeps asking on the
-// connections that it still has open, and against one that cuts a request that
-// has started. A request that is sent while the server closes the idle connection
-// gets no answer, as with every server, but must not have started.
+// Guards against a shutdown that does not end while a caller keeps sending requests
+// on its open connections, and against one that aborts a started request. A request
+// that is sent while the server closes the idle connection gets no response, as with
+// any HTTP server, but must not start.
 func TestShutdownEndsUnderHealthChecks(t *testing.T) {
 	var started, answered atomic.Int64
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -179,14 +181,14 @@
 		_, _ = io.WriteString(w, "whole")
 	})
 	p := newPool(t, s.Addr())
-	ask := func() {
+	get := func() {
 		if _, err := p.Do(t.Context(), &Request{Method: "GET", Target: "/"}); err == nil {
 			answered.Add(1)
 		}
 	}
 	var wg sync.WaitGroup
 	for range 40 { // opens up to 40 connections
-		wg.Go(ask)
+		wg.Go(get)
 	}
 	wg.Wait()
 	stopped := make(chan error, 1)
@@ -204,17 +206,17 @@
 				t.Error(err)
 			}
 			if diff := cmp.Diff(started.Load(), answered.Load()); diff != "" {
-				t.Error("requests started and answered: ", diff)
+				t.Error("started and answered requests differ: ", diff)
 			}
 			return
 		case <-tick.C:
-			ask()
+			get()
 		}
 	}
 }
 
-// Guards against a request that starts on a connection which a shutdown has decided
-// to close: its answer is lost.
+// Guards against a request that starts on a connection that a shutdown is closing:
+// its response would be lost.
 func TestRequestThatCrossesCloseDoesNotStart(t *testing.T) {
 	s := listen(t, func(http.ResponseWriter, *http.Request) {})
 	client, err := net.Dial("tcp", s.Addr())
@@ -222,33 +224,34 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = client.Close() }()
-	conn := soleIdle(t, s)
-	began := time.Now()
+	conn := waitForOnlyConn(t, s)
+	drainStart := time.Now()
 	s.mu.Lock()
-	since := s.idle[conn]
+	since := s.idleSince[conn]
 	s.mu.Unlock()
-	s.closeIdle(since.Add(drainIdle+began.Sub(since)), began.Add(-drainIdle))
-	// The request was read before the close, and its goroutine starts after it.
+	s.closeIdle(since.Add(drainIdleTimeout+drainStart.Sub(since)), drainStart.Add(-drainIdleTimeout))
+	// From here on the test acts as the goroutine of a request that was read before the
+	// close and starts after it.
 	if _, err := client.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the idle connection is open")
+		t.Fatal("the idle connection was not closed")
 	}
 	waitFor(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.idle) == 0
+		return len(s.idleSince) == 0
 	})
-	if s.began(&exchange{conn: conn}) {
-		t.Error("the request started")
+	if s.startRequest(&exchange{conn: conn}) {
+		t.Error("the request started on a closed connection")
 	}
 }
 
-// soleIdle waits for the server's only connection.
-func soleIdle(t *testing.T, s *Server) (conn net.Conn) {
+// waitForOnlyConn waits until the server's only connection is idle and returns it.
+func waitForOnlyConn(t *testing.T, s *Server) (conn net.Conn) {
 	t.Helper()
 	waitFor(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for conn = range s.idle {
+		for conn = range s.idleSince {
 			return true
 		}
 		return false
@@ -256,7 +259,7 @@
 	return conn
 }
 
-// waitFor waits for a condition.
+// waitFor waits up to 5 s for a condition.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
@@ -264,20 +267,20 @@
 	for deadline := time.After(5 * time.Second); !condition(); {
 		select {
 		case <-deadline:
-			t.Fatal("condition not met in time")
+			t.Fatal("condition not met within 5 s")
 		case <-tick.C:
 		}
 	}
 }
 
-// Guards against bodies that are mixed up once an answer without a length is larger
-// than nbhttp's packets: it uses a buffer again that it has given back.
+// Guards against corrupted bodies when a response without Content-Length is larger
+// than nbhttp's packets: nbhttp then reuses a buffer that it has already released.
 func TestLargeAnswersWithoutLength(t *testing.T) {
 	part := strings.Repeat("x", 40<<10)
 	s := listen(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil || string(body) != r.Header.Get("Body") {
-			t.Errorf("body %.20q of %d bytes, %v; want %.20q", body, len(body), err, r.Header.Get("Body"))
+			t.Errorf("request body %.20q of %d bytes, error %v; want %.20q", body, len(body), err, r.Header.Get("Body"))
 		}
 		for range 3 {
 			_, _ = io.WriteString(w, part)
@@ -306,7 +309,7 @@
 				got, err := io.ReadAll(res.Body)
 				_ = res.Body.Close()
 				if err != nil || len(got) != 3*len(part) || res.ContentLength != int64(3*len(part)) {
-					t.Errorf("answer of %d bytes, length %d, %v; want %d", len(got), res.ContentLength, err, 3*len(part))
+					t.Errorf("response body of %d bytes, Content-Length %d, error %v; want %d bytes", len(got), res.ContentLength, err, 3*len(part))
 					return
 				}
 			}
@@ -316,7 +319,8 @@
 }
 
 // Guards against a request that does not run because its caller closed the
-// connection behind it: a write that is held up on its way takes effect late.
+// connection right after sending it: whether the request runs must not depend on
+// when the server reads it.
 func TestRequestRunsAfterItsCallerLeft(t *testing.T) {
 	ran := make(chan bool, 1)
 	s := listen(t, func(http.ResponseWriter, *http.Request) { ran <- true })
@@ -335,13 +339,13 @@
 	}
 }
 
-// Guards against pipelined requests that wait for each other, and against answers
-// out of order.
+// Guards against pipelined requests that run sequentially, and against responses out
+// of order.
 func TestPipelinedRequests(t *testing.T) {
 	release := make(chan bool)
 	s := listen(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/0" {
-			<-release // until the others have run
+			<-release // closed by the last request
 		} else if r.URL.Path == "/4" {
 			close(release)
 		}
@@ -371,13 +375,13 @@
 	}
 }
 
-// Guards against handlers that cannot take over their connection, which test doubles
-// of faulty peers do.
+// Guards against handlers that cannot hijack their connection. Test doubles of faulty
+// peers do so.
 func TestHijack(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) {
 		h, ok := w.(http.Hijacker)
 		if !ok {
-			t.Error("the connection cannot be taken over")
+			t.Error("the ResponseWriter is no http.Hijacker")
 			return
 		}
 		c, _, err := h.Hijack()
@@ -393,8 +397,8 @@
 	}
 }
 
-// Guards against a Close that waits for ever, which nbio's Stop does when it
-// comes before the pollers run.
+// Guards against a Close that blocks forever, as nbio's Stop does if it is called
+// before the pollers run.
 func TestCloseReturns(t *testing.T) {
 	for range 300 {
 		c, err := NewClient()
@@ -406,8 +410,8 @@
 	}
 }
 
-// Guards against an idle timeout that cuts the request after it.
-func TestIdleTimeoutSparesNextRequest(t *testing.T) {
+// Guards against an idle timeout that aborts the next request on the connection.
+func TestIdleTimeoutDoesNotCancelNextRequest(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			<-time.After(100 * time.Millisecond)
@@ -428,8 +432,8 @@
 	}
 }
 
-// Guards against a request on a connection that has closed although the pool has
-// not been told, and against such a request being reported as perhaps received.
+// Guards against a request that fails because its idle connection was closed without
+// notice to the pool, and against such a request being reported as a LostError.
 func TestClosedIdleConnection(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 	p := newPool(t, s.Addr())
@@ -438,22 +442,22 @@
 			t.Fatal(err)
 		}
 		c := p.idle[0]
-		c.cc.OnClose(func() {})
-		if err := c.nc.(net.Conn).Close(); err != nil {
+		c.nbConn.OnClose(func() {})
+		if err := c.netConn.(net.Conn).Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c := &conn{pool: p, dialed: true}
-	for whole, want := range map[bool]bool{true: true, false: false} {
-		if diff := cmp.Diff(want, closedBeforeWrite(c.classify(net.ErrClosed, whole))); diff != "" {
-			t.Errorf("written at once %t: %s", whole, diff)
+	for atomic, want := range map[bool]bool{true: true, false: false} {
+		if diff := cmp.Diff(want, closedBeforeWrite(c.classify(net.ErrClosed, atomic))); diff != "" {
+			t.Errorf("atomic write %t: %s", atomic, diff)
 		}
 	}
 }
 
-// Guards against an event loop that waits for itself when a connection is closed
-// while its answer is handled: all later requests on that loop hung.
-func TestCloseDuringAnswers(t *testing.T) {
+// Guards against a deadlock of the event loop when a connection is closed while its
+// response is handled: all later requests on that event loop hung.
+func TestCloseDuringResponse(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 	c, err := NewClient()
 	if err != nil {
@@ -477,7 +481,7 @@
 	}
 }
 
-// Guards against a retired pool that cuts a request in flight or sends another.
+// Guards against a retired pool that aborts a request in flight or sends another one.
 func TestRetire(t *testing.T) {
 	started, release := make(chan bool), make(chan bool)
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -503,7 +507,7 @@
 	}
 }
 
-// BenchmarkDo measures a round trip on an idle connection.
+// BenchmarkDo measures a request on an idle connection.
 func BenchmarkDo(b *testing.B) {
 	s, err := Listen(ServerConfig{Addr: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "whole")
--- a/internal/http1/inherit_linux_test.go
+++ b/internal/http1/inherit_linux_test.go
@@ -11,9 +11,10 @@
 	"testing"
 )
 
-// Guards against connections that a child process inherits. Their events went on
-// after they were closed and closed new connections with the same descriptor,
-// which failed the starts of fleets in the scenarios.
+// Guards against connections that a child process inherits. Epoll delivered their
+// events even after this process had closed them, and these events closed new
+// connections with the same descriptor number; fleets in the scenarios failed to
+// start.
 func TestChildProcessInheritsNoConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,11 +45,11 @@
 		}
 		links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", child.Process.Pid))
 		if err != nil || len(links) == 0 {
-			t.Fatalf("descriptors of the child: %v, %v", links, err)
+			t.Fatalf("descriptors of the child process: %v, error %v", links, err)
 		}
 		for _, l := range links {
 			if target, _ := os.Readlink(l); strings.HasPrefix(target, "socket:") {
-				t.Errorf("the child has %s", target)
+				t.Errorf("the child process inherited %s", target)
 			}
 		}
 		if err := child.Process.Kill(); err != nil {
--- a/internal/http1/pipeline.go
+++ b/internal/http1/pipeline.go
@@ -11,55 +11,56 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// maxPipelined bounds the requests of one connection that run at the same time;
-// further ones wait.
-const maxPipelined = 16
+// maxConcurrentPerConn limits the requests of one connection that run concurrently;
+// further pipelined requests wait.
+const maxConcurrentPerConn = 16
 
-// pipeline is the order of the requests of a connection. nbhttp runs them one after
-// the other; here they run at the same time, and their answers wait for each other.
+// pipeline orders the responses of a connection. nbhttp would run pipelined requests
+// sequentially; the server runs them concurrently and writes their responses in the
+// order of the requests. Its fields are guarded by Server.mu.
 type pipeline struct {
-	conn    net.Conn
-	last    *turn // of the newest request
-	next    *turn // of the one that has arrived and does not run yet
-	running int
-	sealed  bool // a request was turned away; the connection ends after those that run
+	conn      net.Conn
+	newest    *responseSlot // slot of the most recent request
+	pending   *responseSlot // slot of the request that has arrived and was not executed yet
+	inFlight  int           // requests
+	rejecting bool          // a request was rejected: the connection closes after those in flight
 }
 
-// turn is the place of a request in its pipeline.
-type turn struct {
-	pipe *pipeline
-	prev <-chan struct{} // closed when the answer before it is written
-	done chan struct{}
-	wait bool // until the answer before it is written
+// responseSlot is the position of a request's response in the order of its pipeline.
+type responseSlot struct {
+	pipeline      *pipeline
+	prevDone      <-chan struct{} // closed when the previous response has been written
+	done          chan struct{}   // closed when this response has been written
+	waitBeforeRun bool            // the request runs only after prevDone is closed
 
-	answered bool // its answer has begun; guarded by the server's mu
+	responseStarted bool // the response is being written; guarded by Server.mu
 }
 
-// pipelined makes the requests of a connection run at the same time.
-func (s *Server) pipelined(c *nbio.Conn) {
+// enablePipelining makes the requests of a connection run concurrently.
+func (s *Server) enablePipelining(c *nbio.Conn) {
 	parser, ok := c.Session().(*nbhttp.Parser)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pipes[c] != nil {
+	if s.pipelines[c] != nil {
 		return
 	}
 	pipe := &pipeline{conn: c}
-	s.pipes[c] = pipe
+	s.pipelines[c] = pipe
 	parser.Execute = func(f func()) bool {
 		s.mu.Lock()
-		t := pipe.next // which arrived has just made, unless it turned the request away
-		pipe.next = nil
+		slot := pipe.pending // set by the preceding enqueueRequest; nil if it rejected the request
+		pipe.pending = nil
 		s.mu.Unlock()
-		if t == nil {
+		if slot == nil {
 			return false
 		}
 		go func() {
-			defer s.finish(t)
-			if t.wait {
-				<-t.prev
+			defer s.finishSlot(slot)
+			if slot.waitBeforeRun {
+				<-slot.prevDone
 			}
 			f()
 		}()
@@ -67,56 +68,57 @@
 	}
 }
 
-// arrived gives a request its turn. nbhttp calls it in the order of arrival, each
-// time just before it calls Execute. A request that is sent behind another one while
-// the server drains gets none: a caller that goes on like this would keep its
-// connection open until the server stops, and its last requests would be cut.
-func (s *Server) arrived(w http.ResponseWriter, r *http.Request) {
+// enqueueRequest assigns a response slot to a request. nbhttp calls it in the order
+// of arrival, each time immediately before Execute. While the server drains, a request
+// that is pipelined behind one without a response is rejected: a caller that keeps
+// pipelining would hold its connection open until the server stops, and its last
+// requests would be aborted.
+func (s *Server) enqueueRequest(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pipe := s.pipes[connOf(w)]
+	pipe := s.pipelines[connOf(w)]
 	if pipe == nil {
 		return
 	}
-	if s.draining.Load() && pipe.running > 0 && !pipe.last.answered {
-		pipe.sealed = true
+	if s.draining.Load() && pipe.inFlight > 0 && !pipe.newest.responseStarted {
+		pipe.rejecting = true
 	}
-	if pipe.sealed {
+	if pipe.rejecting {
 		return
 	}
-	t := &turn{pipe: pipe, done: make(chan struct{}), wait: pipe.running >= maxPipelined}
-	if pipe.last != nil {
-		t.prev = pipe.last.done
+	slot := &responseSlot{pipeline: pipe, done: make(chan struct{}), waitBeforeRun: pipe.inFlight >= maxConcurrentPerConn}
+	if pipe.newest != nil {
+		slot.prevDone = pipe.newest.done
 	} else {
-		first := make(chan struct{})
-		close(first)
-		t.prev = first
+		closed := make(chan struct{})
+		close(closed)
+		slot.prevDone = closed
 	}
-	pipe.last, pipe.next = t, t
-	pipe.running++
-	s.turns[r] = t
+	pipe.newest, pipe.pending = slot, slot
+	pipe.inFlight++
+	s.waitingSlots[r] = slot
 }
 
-func (s *Server) finish(t *turn) {
+func (s *Server) finishSlot(slot *responseSlot) {
 	s.mu.Lock()
-	t.pipe.running--
-	ends := t.pipe.sealed && t.pipe.running == 0
-	if ends {
-		s.closing[t.pipe.conn] = true
+	slot.pipeline.inFlight--
+	closeConn := slot.pipeline.rejecting && slot.pipeline.inFlight == 0
+	if closeConn {
+		s.closing[slot.pipeline.conn] = true
 	}
 	s.mu.Unlock()
-	close(t.done)
-	if ends {
-		_ = t.pipe.conn.Close()
+	close(slot.done)
+	if closeConn {
+		_ = slot.pipeline.conn.Close()
 	}
 }
 
-func (s *Server) takeTurn(r *http.Request) *turn {
+func (s *Server) takeSlot(r *http.Request) *responseSlot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.turns[r]
-	delete(s.turns, r)
-	return t
+	slot := s.waitingSlots[r]
+	delete(s.waitingSlots, r)
+	return slot
 }
 
 // connOf returns the connection of a request.
@@ -131,26 +133,28 @@
 	return res.Parser.Conn
 }
 
-// orderedWriter writes an answer when it is its turn. An answer without a length is
-// kept until its handler has ended and gets one: nbhttp would send it in chunks, and
-// from 64 KiB on it then uses a buffer again that it has given back, so that other
-// bodies are mixed up with it.
+// orderedWriter delays a response until the previous response of its connection has
+// been written. It buffers a response without Content-Length until the handler
+// returns and then sets the length: nbhttp would use chunked encoding, and from
+// 64 KiB on it then reuses a buffer that it has already released, which corrupts
+// other bodies.
 type orderedWriter struct {
 	http.ResponseWriter
-	s       *Server
-	r       *http.Request
-	x       *exchange
-	turn    *turn
-	started bool
-	status  int    // of an answer that is kept; 0: none
-	body    []byte // of that answer
+	server         *Server
+	request        *http.Request
+	exchange       *exchange
+	slot           *responseSlot
+	started        bool
+	bufferedStatus int    // status of the buffered response; 0 if none is buffered
+	bufferedBody   []byte // body of the buffered response
 }
 
-// WriteHeader waits for the answers before it, unless the answer has no length yet.
+// WriteHeader waits for the previous response and writes the header. A status without
+// Content-Length is buffered instead.
 func (w *orderedWriter) WriteHeader(status int) {
 	if !w.started && w.Header().Get("Content-Length") == "" {
-		if w.status == 0 {
-			w.status = status
+		if w.bufferedStatus == 0 {
+			w.bufferedStatus = status
 		}
 		return
 	}
@@ -160,77 +164,78 @@
 func (w *orderedWriter) start(status int) {
 	if !w.started {
 		w.started = true
-		w.await()
-		if w.s.beginAnswer(w.x, w.turn) {
+		w.awaitPrevious()
+		if w.server.beginResponse(w.exchange, w.slot) {
 			w.Header().Set("Connection", "close")
-			w.r.Close = true
+			w.request.Close = true
 		}
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body.
+// Write writes a part of the body, or buffers it if the response has no
+// Content-Length.
 func (w *orderedWriter) Write(b []byte) (int, error) {
-	if !w.started && w.status == 0 {
+	if !w.started && w.bufferedStatus == 0 {
 		w.WriteHeader(http.StatusOK)
 	}
 	if !w.started {
-		w.body = append(w.body, b...)
+		w.bufferedBody = append(w.bufferedBody, b...)
 		return len(b), nil
 	}
 	return w.ResponseWriter.Write(b)
 }
 
-// Hijack hands the connection over, when it is the turn of this answer.
+// Hijack waits for the previous response and hands over the connection.
 func (w *orderedWriter) Hijack() (net.Conn, *bufio.ReadWriter, error) {
 	h, ok := w.ResponseWriter.(http.Hijacker)
 	if !ok {
 		return nil, nil, http.ErrNotSupported
 	}
 	w.started = true
-	w.await()
+	w.awaitPrevious()
 	return h.Hijack()
 }
 
-func (w *orderedWriter) await() {
-	if w.turn != nil {
-		<-w.turn.prev
+func (w *orderedWriter) awaitPrevious() {
+	if w.slot != nil {
+		<-w.slot.prevDone
 	}
 }
 
-// beginAnswer notes that an answer begins, and reports whether the connection closes
-// after it: if the server drains and no later request has started on it, since that
-// one's answer would be lost.
-func (s *Server) beginAnswer(x *exchange, t *turn) bool {
+// beginResponse records that the response in slot is being written, and reports
+// whether the connection closes after it. It does if the server drains, unless a
+// later request has started on the connection, whose response would be lost.
+func (s *Server) beginResponse(x *exchange, slot *responseSlot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t != nil {
-		t.answered = true
+	if slot != nil {
+		slot.responseStarted = true
 	}
-	if !s.draining.Load() || t != nil && t.pipe.last != t {
+	if !s.draining.Load() || slot != nil && slot.pipeline.newest != slot {
 		return false
 	}
 	s.closing[x.conn] = true
 	return true
 }
 
-// finishAnswer writes an answer that was kept. One for which the handler wrote nothing
-// ends as an empty one, or with the connection if its caller has left.
-func (w *orderedWriter) finishAnswer(ctx context.Context) {
+// finishResponse writes a buffered response. If the handler wrote nothing, it sends
+// an empty response, or closes the connection if the caller has disconnected.
+func (w *orderedWriter) finishResponse(ctx context.Context) {
 	switch {
 	case w.started:
 		return
-	case w.status == 0 && ctx.Err() != nil && w.x.conn != nil:
-		_ = w.x.conn.Close()
+	case w.bufferedStatus == 0 && ctx.Err() != nil && w.exchange.conn != nil:
+		_ = w.exchange.conn.Close()
 		return
-	case w.status == 0:
-		w.status = http.StatusOK
+	case w.bufferedStatus == 0:
+		w.bufferedStatus = http.StatusOK
 	}
-	if len(w.body) > 0 {
-		w.Header().Set("Content-Length", strconv.Itoa(len(w.body)))
+	if len(w.bufferedBody) > 0 {
+		w.Header().Set("Content-Length", strconv.Itoa(len(w.bufferedBody)))
 	}
-	w.start(w.status)
-	if len(w.body) > 0 {
-		_, _ = w.ResponseWriter.Write(w.body) // fails only once its caller has left
+	w.start(w.bufferedStatus)
+	if len(w.bufferedBody) > 0 {
+		_, _ = w.ResponseWriter.Write(w.bufferedBody) // fails only if the caller has disconnected
 	}
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -13,13 +13,13 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// ServerConfig describes one listening server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	Addr         string // "IP:port"; port 0 picks a free one
+	Addr         string // "IP:port"; port 0 selects a free port
 	Handler      http.Handler
-	MaxConns     int           // 0 means 20,000
+	MaxConns     int           // open connections; 0 means 20,000
 	MaxBody      int           // bytes; 0 means 4 MiB
-	ReadTimeout  time.Duration // from one answer to the end of the next request; 0 means 60 s
+	ReadTimeout  time.Duration // from one response to the end of the next request; 0 means 60 s
 	WriteTimeout time.Duration // 0 means 10 s
 }
 
@@ -29,17 +29,18 @@
 	defaultReadTimeout  = 60 * time.Second
 	defaultWriteTimeout = 10 * time.Second
 
-	// disconnectCheck is how often requests in flight are checked for a caller
-	// that has gone; nbhttp reports a close only after the handler returns.
-	disconnectCheck = 20 * time.Millisecond
-	// drainIdle is how long a draining server waits for another request on a
-	// connection before it closes it.
-	drainIdle = 350 * time.Millisecond
+	// disconnectCheckInterval is how often the server checks whether the callers of
+	// requests in flight have disconnected. It polls because nbhttp reports a closed
+	// connection only after the handler returns.
+	disconnectCheckInterval = 20 * time.Millisecond
+	// drainIdleTimeout is how long a server that shuts down waits for another request
+	// on an idle connection before it closes the connection.
+	drainIdleTimeout = 350 * time.Millisecond
 )
 
-// Server serves one address. Requests that a caller sends before it has the answer
-// to an earlier one run at the same time and are answered in order. The context of a
-// request ends when its caller disconnects or the server stops.
+// Server is an HTTP/1.1 server on one address. Pipelined requests run concurrently,
+// and their responses are written in order. The context of a request is cancelled
+// when its caller disconnects.
 type Server struct {
 	engine   *nbhttp.Engine
 	handler  http.Handler
@@ -47,16 +48,16 @@
 	draining atomic.Bool
 	stop     chan struct{}
 
-	mu      sync.Mutex
-	running map[*exchange]struct{}
-	idle    map[net.Conn]time.Time // open connections without a request, since when
-	busy    map[net.Conn]int       // requests on open connections that have any
-	pipes   map[net.Conn]*pipeline
-	turns   map[*http.Request]*turn // of requests that have not started
-	closing map[net.Conn]bool       // connections that a shutdown has closed or is closing
+	mu           sync.Mutex
+	inFlight     map[*exchange]struct{}
+	idleSince    map[net.Conn]time.Time // open connections without a started request
+	requestCount map[net.Conn]int       // started requests of the other open connections
+	pipelines    map[net.Conn]*pipeline
+	waitingSlots map[*http.Request]*responseSlot // slots of requests that have not started
+	closing      map[net.Conn]bool               // connections that the server has closed or is about to close
 }
 
-// exchange is a request in flight.
+// exchange is a request in flight and the connection that it arrived on.
 type exchange struct {
 	conn   net.Conn
 	cancel context.CancelFunc
@@ -65,9 +66,9 @@
 // Listen starts a server.
 func Listen(cfg ServerConfig) (*Server, error) {
 	s := &Server{
-		handler: cfg.Handler, stop: make(chan struct{}), running: make(map[*exchange]struct{}),
-		idle: make(map[net.Conn]time.Time), busy: make(map[net.Conn]int), pipes: make(map[net.Conn]*pipeline),
-		turns: make(map[*http.Request]*turn), closing: make(map[net.Conn]bool),
+		handler: cfg.Handler, stop: make(chan struct{}), inFlight: make(map[*exchange]struct{}),
+		idleSince: make(map[net.Conn]time.Time), requestCount: make(map[net.Conn]int), pipelines: make(map[net.Conn]*pipeline),
+		waitingSlots: make(map[*http.Request]*responseSlot), closing: make(map[net.Conn]bool),
 	}
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Name: "http1-server", Network: "tcp", Addrs: []string{cfg.Addr},
@@ -77,33 +78,34 @@
 		KeepaliveTime:           orDefault(cfg.ReadTimeout, defaultReadTimeout),
 		WriteTimeout:            orDefault(cfg.WriteTimeout, defaultWriteTimeout),
 		ReleaseWebsocketPayload: true,
-		OnRequest:               s.arrived,
+		OnRequest:               s.enqueueRequest,
 		Handler:                 http.HandlerFunc(s.serve),
 		Listen: func(network, addr string) (net.Listener, error) {
 			ln, err := net.Listen(network, addr)
-			s.listener = &listener{Listener: ln, stopped: make(chan struct{})}
+			s.listener = &listener{Listener: ln, engineStopped: make(chan struct{})}
 			return s.listener, err
 		},
 	})
-	// The acceptor hands a connection to the poller through epoll, which the race
-	// detector does not see as an order. The counter is one that it sees.
+	// The acceptor passes a connection to the poller through epoll, which the race
+	// detector does not know as a synchronization. The atomic counter adds a
+	// happens-before edge that the race detector knows.
 	var opened atomic.Int64
 	s.engine.OnOpen(func(c net.Conn) {
 		opened.Add(1)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.idle[c] = time.Now()
+		s.idleSince[c] = time.Now()
 	})
 	s.engine.OnClose(func(c net.Conn, _ error) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.idle, c)
-		delete(s.busy, c)
-		delete(s.pipes, c)
+		delete(s.idleSince, c)
+		delete(s.requestCount, c)
+		delete(s.pipelines, c)
 	})
 	s.engine.OnData(func(c *nbio.Conn, data []byte) {
 		opened.Load()
-		s.pipelined(c)
+		s.enablePipelining(c)
 		c.DataHandler()(c, data)
 	})
 	if err := s.engine.Start(); err != nil {
@@ -113,26 +115,29 @@
 	return s, nil
 }
 
-// listener stops accepting before the engine stops. The engine's accept loop
-// would spin on a closed listener, so Accept waits for the engine instead.
+// listener allows the listening socket to be closed before the engine stops. The
+// engine's accept loop would spin on a closed listener, so Accept then blocks until
+// the engine stops.
 type listener struct {
 	net.Listener
-	once    sync.Once
-	stopped chan struct{}
+	once          sync.Once
+	engineStopped chan struct{}
 }
 
-// Accept waits for a connection.
+// Accept waits for a connection. If the socket is closed, it blocks until the engine
+// calls Close.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
-		<-l.stopped
+		<-l.engineStopped
 	}
 	return c, err
 }
 
-// Close is called by the engine when it stops.
+// Close closes the listening socket and releases Accept. The engine calls it when it
+// stops.
 func (l *listener) Close() error {
-	l.once.Do(func() { close(l.stopped) })
+	l.once.Do(func() { close(l.engineStopped) })
 	return l.Listener.Close()
 }
 
@@ -146,21 +151,22 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Drain makes every further answer ask the caller to close its connection.
+// Drain makes the server close each connection after its next response, which has the
+// header "Connection: close".
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown drains and waits until every connection has closed: after the answer
-// to its request in flight, or when no request has come on it for a moment. It
-// returns ctx's error if that comes first.
+// Shutdown stops accepting connections, drains, and waits until all connections have
+// closed: after the response to a request in flight, or when no request arrives
+// within drainIdleTimeout. It returns ctx's error if ctx ends first.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	_ = s.listener.Listener.Close()
-	began := time.Now()
-	tick := time.NewTicker(disconnectCheck)
+	drainStart := time.Now()
+	tick := time.NewTicker(disconnectCheckInterval)
 	defer tick.Stop()
 	defer s.Close()
 	for {
-		if s.closeIdle(time.Now(), began) == 0 {
+		if s.closeIdle(time.Now(), drainStart) == 0 {
 			return nil
 		}
 		select {
@@ -171,34 +177,35 @@
 	}
 }
 
-// closeIdle closes connections without a request for drainIdle, counted from began
-// at the earliest, and returns the number of open connections.
-func (s *Server) closeIdle(now, began time.Time) int {
+// closeIdle closes the connections that have been idle for drainIdleTimeout, counted
+// from drainStart at the earliest. It returns the number of connections that were
+// open before.
+func (s *Server) closeIdle(now, drainStart time.Time) int {
 	s.mu.Lock()
-	var quiet []net.Conn
-	for c, since := range s.idle {
-		if pipe := s.pipes[c]; pipe != nil && pipe.running > 0 {
-			continue // a request has arrived, and its goroutine has not started or ended
+	var expired []net.Conn
+	for c, since := range s.idleSince {
+		if pipe := s.pipelines[c]; pipe != nil && pipe.inFlight > 0 {
+			continue // a request has arrived, but its goroutine has not started or not ended
 		}
-		if since.Before(began) {
-			since = began
+		if since.Before(drainStart) {
+			since = drainStart
 		}
-		if now.Sub(since) >= drainIdle {
-			quiet = append(quiet, c)
+		if now.Sub(since) >= drainIdleTimeout {
+			expired = append(expired, c)
 		}
 	}
-	open := len(s.idle) + len(s.busy)
-	for _, c := range quiet {
+	open := len(s.idleSince) + len(s.requestCount)
+	for _, c := range expired {
 		s.closing[c] = true
 	}
 	s.mu.Unlock()
-	for _, c := range quiet {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 	return open
 }
 
-// Close stops at once; requests in flight are cut.
+// Close stops the server immediately and aborts the requests in flight.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,22 +222,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	x := &exchange{cancel: cancel, conn: connOf(w)}
-	ordered := &orderedWriter{ResponseWriter: w, s: s, r: r, x: x, turn: s.takeTurn(r)}
-	if !s.began(x) {
+	ordered := &orderedWriter{ResponseWriter: w, server: s, request: r, exchange: x, slot: s.takeSlot(r)}
+	if !s.startRequest(x) {
 		_ = x.conn.Close()
 		return
 	}
-	defer s.ended(x)
+	defer s.endRequest(x)
 	s.handler.ServeHTTP(ordered, r.WithContext(ctx))
-	ordered.finishAnswer(ctx)
+	ordered.finishResponse(ctx)
 }
 
-// began notes a request. It reports false if the server has closed the connection
-// meanwhile or is about to: the request gets no answer, so it must not start. If the
-// caller has closed it, the request runs: it arrived.
-func (s *Server) began(x *exchange) bool {
+// startRequest registers a request. It returns false if the server has closed the
+// connection or is about to close it: the request would get no response and must not
+// run. A request whose caller has closed the connection runs, because it has been
+// received.
+func (s *Server) startRequest(x *exchange) bool {
 	if x.conn != nil {
-		// The deadline for the arrival of a request would cut one that takes longer.
+		// The read deadline covers the arrival of a request. Without the reset it would
+		// abort a request that runs longer.
 		_ = x.conn.SetReadDeadline(time.Time{})
 	}
 	s.mu.Lock()
@@ -238,31 +247,32 @@
 	if s.closing[x.conn] {
 		return false
 	}
-	s.running[x] = struct{}{}
-	_, idle := s.idle[x.conn]
-	if idle || s.busy[x.conn] > 0 {
-		delete(s.idle, x.conn)
-		s.busy[x.conn]++
+	s.inFlight[x] = struct{}{}
+	_, idle := s.idleSince[x.conn]
+	if idle || s.requestCount[x.conn] > 0 {
+		delete(s.idleSince, x.conn)
+		s.requestCount[x.conn]++
 	}
 	return true
 }
 
-// ended notes the end of a request. Its answer is written after that, which the
-// wait for an idle connection leaves time for.
-func (s *Server) ended(x *exchange) {
+// endRequest unregisters a request whose handler has returned. The end of its
+// response may still be unwritten; drainIdleTimeout leaves time for that before the
+// idle connection is closed.
+func (s *Server) endRequest(x *exchange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.running, x)
-	if s.busy[x.conn] > 1 {
-		s.busy[x.conn]--
-	} else if s.busy[x.conn] == 1 {
-		delete(s.busy, x.conn)
-		s.idle[x.conn] = time.Now()
+	delete(s.inFlight, x)
+	if s.requestCount[x.conn] > 1 {
+		s.requestCount[x.conn]--
+	} else if s.requestCount[x.conn] == 1 {
+		delete(s.requestCount, x.conn)
+		s.idleSince[x.conn] = time.Now()
 	}
 }
 
 func (s *Server) watchDisconnects() {
-	tick := time.NewTicker(disconnectCheck)
+	tick := time.NewTicker(disconnectCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -277,7 +287,7 @@
 func (s *Server) cancelDisconnected() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for x := range s.running {
+	for x := range s.inFlight {
 		c, ok := x.conn.(interface{ IsClosed() (bool, error) })
 		if !ok {
 			continue
--- a/internal/http1/transport.go
+++ b/internal/http1/transport.go
@@ -17,59 +17,60 @@
 	"github.com/go-faster/errors"
 )
 
-// Transport sends requests over kept connections to any number of addresses. In
-// contrast to Pool it can skip an answer that belongs to an earlier request, and
-// it accepts an answer whose end is the end of its connection. nbhttp's client
-// does neither, so this one parses answers with net/http.
+// Transport sends requests over persistent connections to any number of addresses.
+// Unlike Pool it can skip a response that belongs to an earlier request, and it
+// accepts a response that is delimited by the end of its connection. nbhttp's client
+// supports neither, so Transport parses responses with net/http.
 type Transport struct {
 	cfg TransportConfig
 
 	mu   sync.Mutex
-	idle map[string][]*link // most recently used last
+	idle map[string][]*persistentConn // most recently used last
 }
 
-// TransportConfig bounds a transport.
+// TransportConfig configures a Transport.
 type TransportConfig struct {
 	DialTimeout time.Duration
-	IdleTimeout time.Duration // a connection that was idle for longer is not used
-	MaxBody     int64         // bytes of an answer
-	MaxIdle     int           // connections kept for each address
-	// TurnsAway is set for peers that accept a connection and reset it at once when they
-	// have too many. A request that is written before the reset arrives may have run as
-	// far as the caller knows, so a new connection is used only once that would have
-	// happened.
+	IdleTimeout time.Duration // a connection that was idle for longer is not reused
+	MaxBody     int64         // largest response body in bytes
+	MaxIdle     int           // idle connections kept per address
+	// TurnsAway states that peers with too many connections accept a new one and reset
+	// it immediately. The outcome of a request written before the reset arrives is
+	// unknown, so a new connection is used only after the time in which a reset would
+	// have arrived.
 	TurnsAway bool
-	// AllSilent closes every idle connection to an address that did not answer on one:
-	// the others may be silent too. It suits an address that answers at once.
+	// AllSilent closes all idle connections to an address when reading a response from
+	// it fails, because the other connections may be dead as well. It suits peers that
+	// respond quickly.
 	AllSilent bool
 }
 
-// keepAliveMargin is taken off the time that a peer promises to keep an idle
-// connection, so that a request does not cross the peer's close.
+// keepAliveMargin is subtracted from the timeout in a peer's Keep-Alive header, so
+// that the peer does not close a connection while a request is on its way.
 const keepAliveMargin = 1500 * time.Millisecond
 
-// ErrTurnedAway reports a peer that closed a new connection at once.
-var ErrTurnedAway = errors.New("connection closed by the peer right after it was opened")
+// ErrTurnedAway reports that the peer closed a new connection immediately.
+var ErrTurnedAway = errors.New("peer closed the connection immediately after accepting it")
 
 const (
-	// turnAwayTrips is the time, in round trips, in which the reset of a new connection
-	// arrives, and turnAwayMargin what the peer takes besides.
-	turnAwayTrips  = 1.5
-	turnAwayMargin = time.Millisecond
-	// maxTurnAway bounds it where opening took long for another reason.
-	maxTurnAway = 10 * time.Millisecond
+	// rejectRTTs is the time, in round-trip times, within which the reset of a new
+	// connection arrives; rejectMargin is added for the peer's processing.
+	rejectRTTs   = 1.5
+	rejectMargin = time.Millisecond
+	// maxRejectWait limits that wait if the dial was slow for another reason.
+	maxRejectWait = 10 * time.Millisecond
 )
 
-// ErrBodyTooLarge reports an answer above TransportConfig.MaxBody.
-var ErrBodyTooLarge = errors.New("answer exceeds the maximum body size")
+// ErrBodyTooLarge reports a response body larger than TransportConfig.MaxBody.
+var ErrBodyTooLarge = errors.New("response exceeds the maximum body size")
 
-// NewTransport returns a transport without connections.
+// NewTransport returns a transport without open connections.
 func NewTransport(cfg TransportConfig) *Transport {
-	return &Transport{cfg: cfg, idle: make(map[string][]*link)}
+	return &Transport{cfg: cfg, idle: make(map[string][]*persistentConn)}
 }
 
-// link is a connection that carries one request at a time.
-type link struct {
+// persistentConn is a connection of a Transport, which serves one request at a time.
+type persistentConn struct {
 	conn    net.Conn
 	reader  *bufio.Reader
 	expires time.Time
@@ -78,25 +79,25 @@
 // Forget closes the idle connections to addr.
 func (t *Transport) Forget(addr string) {
 	t.mu.Lock()
-	links := t.idle[addr]
+	conns := t.idle[addr]
 	delete(t.idle, addr)
 	t.mu.Unlock()
-	for _, l := range links {
-		_ = l.conn.Close()
+	for _, pc := range conns {
+		_ = pc.conn.Close()
 	}
 }
 
-// CloseExpired closes connections that were idle for too long.
+// CloseExpired closes the idle connections whose idle timeout has expired.
 func (t *Transport) CloseExpired(now time.Time) {
-	var expired []*link
+	var expired []*persistentConn
 	t.mu.Lock()
-	for addr, links := range t.idle {
-		kept := links[:0]
-		for _, l := range links {
-			if now.Before(l.expires) {
-				kept = append(kept, l)
+	for addr, conns := range t.idle {
+		kept := conns[:0]
+		for _, pc := range conns {
+			if now.Before(pc.expires) {
+				kept = append(kept, pc)
 			} else {
-				expired = append(expired, l)
+				expired = append(expired, pc)
 			}
 		}
 		if t.idle[addr] = kept; len(kept) == 0 {
@@ -104,44 +105,44 @@
 		}
 	}
 	t.mu.Unlock()
-	for _, l := range expired {
-		_ = l.conn.Close()
+	for _, pc := range expired {
+		_ = pc.conn.Close()
 	}
 }
 
-// Do sends req to addr and returns the first whole answer that own accepts; a nil
-// own accepts each. The error is a *NotSentError or a *LostError. The connection
-// is closed when ctx ends first.
-func (t *Transport) Do(ctx context.Context, addr string, req *Request, own func(*Response) bool) (*Response, error) {
+// Do sends req to addr and returns the first complete response that accept returns
+// true for; a nil accept accepts every response. The error is a *NotSentError or a
+// *LostError. If ctx ends first, the connection is closed.
+func (t *Transport) Do(ctx context.Context, addr string, req *Request, accept func(*Response) bool) (*Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Addr: addr, Err: err}
 	}
 	for {
-		l, reused, err := t.get(ctx, addr)
+		pc, reused, err := t.acquire(ctx, addr)
 		if err != nil {
 			return nil, &NotSentError{Addr: addr, Err: err}
 		}
-		stop := context.AfterFunc(ctx, func() { _ = l.conn.SetDeadline(time.Unix(1, 0)) })
-		n, err := l.conn.Write(encodeRequest(addr, req))
+		stop := context.AfterFunc(ctx, func() { _ = pc.conn.SetDeadline(time.Unix(1, 0)) })
+		n, err := pc.conn.Write(encodeRequest(addr, req))
 		if err != nil {
 			stop()
-			l.reset()
+			pc.reset()
 			if n > 0 {
 				return nil, &LostError{Addr: addr, Err: err}
 			}
 			if reused && ctx.Err() == nil {
-				continue // the peer closed an idle connection
+				continue // the peer has closed the idle connection
 			}
 			return nil, &NotSentError{Addr: addr, Err: err}
 		}
-		res, keep, err := l.read(req.Method, t.cfg.MaxBody, own)
+		res, keep, err := pc.readResponse(req.Method, t.cfg.MaxBody, accept)
 		if !stop() || err != nil {
 			keep = false
 		}
 		if ctx.Err() != nil {
-			l.reset()
-		} else if !keep || !t.put(addr, l, res, time.Now()) {
-			_ = l.conn.Close()
+			pc.reset()
+		} else if !keep || !t.putIdle(addr, pc, res, time.Now()) {
+			_ = pc.conn.Close()
 		}
 		if err != nil {
 			if t.cfg.AllSilent {
@@ -156,34 +157,36 @@
 	}
 }
 
-func (t *Transport) get(ctx context.Context, addr string) (l *link, reused bool, err error) {
+func (t *Transport) acquire(ctx context.Context, addr string) (pc *persistentConn, reused bool, err error) {
 	now := time.Now()
 	for {
-		l := t.pop(addr)
-		if l == nil {
+		pc := t.popIdle(addr)
+		if pc == nil {
 			break
 		}
-		if now.Before(l.expires) && l.quiet() {
-			return l, true, nil
+		if now.Before(pc.expires) && pc.usable() {
+			return pc, true, nil
 		}
-		_ = l.conn.Close()
+		_ = pc.conn.Close()
 	}
 	d := net.Dialer{Timeout: t.cfg.DialTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if t.cfg.TurnsAway && errors.Is(err, syscall.ECONNRESET) {
-		return nil, false, ErrTurnedAway // reset before the dial had returned; nobody listening is ECONNREFUSED
+		// The connection was reset before the dial returned. Without a listener the error
+		// would be ECONNREFUSED.
+		return nil, false, ErrTurnedAway
 	}
 	if err != nil {
 		return nil, false, err
 	}
 	if t.cfg.TurnsAway {
-		trip := time.Since(now)
-		if !staysOpen(conn, min(time.Duration(turnAwayTrips*float64(trip))+turnAwayMargin, maxTurnAway)) {
+		rtt := time.Since(now)
+		if !staysOpen(conn, min(time.Duration(rejectRTTs*float64(rtt))+rejectMargin, maxRejectWait)) {
 			_ = conn.Close()
 			return nil, false, ErrTurnedAway
 		}
 	}
-	return &link{conn: conn, reader: bufio.NewReaderSize(conn, 2<<10)}, false, nil
+	return &persistentConn{conn: conn, reader: bufio.NewReaderSize(conn, 2<<10)}, false, nil
 }
 
 // staysOpen reports whether the peer neither closes the new connection nor sends
@@ -199,39 +202,40 @@
 	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
-func (t *Transport) pop(addr string) *link {
+func (t *Transport) popIdle(addr string) *persistentConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	links := t.idle[addr]
-	if len(links) == 0 {
+	conns := t.idle[addr]
+	if len(conns) == 0 {
 		return nil
 	}
-	l := links[len(links)-1]
-	t.idle[addr] = links[:len(links)-1]
-	return l
+	pc := conns[len(conns)-1]
+	t.idle[addr] = conns[:len(conns)-1]
+	return pc
 }
 
-// put keeps l for the next request, for as long as the peer says that it does.
-func (t *Transport) put(addr string, l *link, res *Response, now time.Time) bool {
+// putIdle keeps pc for later requests, at most for the idle timeout that the peer
+// announced in its response. It returns false if pc cannot be kept.
+func (t *Transport) putIdle(addr string, pc *persistentConn, res *Response, now time.Time) bool {
 	keep := t.cfg.IdleTimeout
-	if promised, ok := keepAlive(res.Header.Get("Keep-Alive")); ok {
-		keep = min(keep, promised-keepAliveMargin)
+	if peerTimeout, ok := parseKeepAliveTimeout(res.Header.Get("Keep-Alive")); ok {
+		keep = min(keep, peerTimeout-keepAliveMargin)
 	}
 	if keep <= 0 {
 		return false
 	}
-	l.expires = now.Add(keep)
+	pc.expires = now.Add(keep)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.idle[addr]) >= t.cfg.MaxIdle {
 		return false
 	}
-	t.idle[addr] = append(t.idle[addr], l)
+	t.idle[addr] = append(t.idle[addr], pc)
 	return true
 }
 
-// keepAlive reads the timeout of a Keep-Alive header.
-func keepAlive(header string) (time.Duration, bool) {
+// parseKeepAliveTimeout returns the timeout parameter of a Keep-Alive header.
+func parseKeepAliveTimeout(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -243,10 +247,10 @@
 	return 0, false
 }
 
-// quiet reports whether the peer has neither closed the idle connection nor sent
-// anything on it. Bytes that arrive without a request belong to no answer.
-func (l *link) quiet() bool {
-	sc, ok := l.conn.(syscall.Conn)
+// usable reports whether the peer has neither closed the idle connection nor sent
+// anything on it. Bytes that arrive before a request do not belong to its response.
+func (pc *persistentConn) usable() bool {
+	sc, ok := pc.conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -254,23 +258,23 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	wouldBlock := false
 	var b [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), b[:])
-		quiet = err == syscall.EAGAIN
+		wouldBlock = err == syscall.EAGAIN
 		return true
 	})
-	return quiet && err == nil
+	return wouldBlock && err == nil
 }
 
-// reset closes the connection such that bytes on their way are lost: a request that
-// was given up must not arrive later.
-func (l *link) reset() {
-	if c, ok := l.conn.(*net.TCPConn); ok {
-		_ = c.SetLinger(0) // fails only on a closed connection
+// reset closes the connection with a TCP reset, which discards unsent bytes: a request
+// that has been abandoned must not arrive later.
+func (pc *persistentConn) reset() {
+	if tcp, ok := pc.conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
-	_ = l.conn.Close()
+	_ = pc.conn.Close()
 }
 
 func encodeRequest(addr string, req *Request) []byte {
@@ -280,7 +284,7 @@
 		host = addr
 	}
 	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + host + "\r\n")
-	_ = req.Header.Write(&b) // a buffer takes every write
+	_ = req.Header.Write(&b) // writes to a bytes.Buffer do not fail
 	if len(req.Body) > 0 || req.Method == http.MethodPost || req.Method == http.MethodPut || req.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
@@ -289,31 +293,31 @@
 	return b.Bytes()
 }
 
-// read returns the first answer that own accepts, and whether the connection can
-// carry another request.
-func (l *link) read(method string, maxBody int64, own func(*Response) bool) (*Response, bool, error) {
+// readResponse returns the first response that accept returns true for, and whether
+// the connection can be reused.
+func (pc *persistentConn) readResponse(method string, maxBody int64, accept func(*Response) bool) (*Response, bool, error) {
 	for {
-		res, err := http.ReadResponse(l.reader, &http.Request{Method: method})
+		res, err := http.ReadResponse(pc.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, false, errors.Wrap(err, "read answer")
+			return nil, false, errors.Wrap(err, "read response header")
 		}
 		if res.StatusCode >= 100 && res.StatusCode < 200 {
 			continue
 		}
 		body, err := io.ReadAll(io.LimitReader(res.Body, maxBody+1))
 		if err != nil {
-			return nil, false, errors.Wrap(err, "read body")
+			return nil, false, errors.Wrap(err, "read response body")
 		}
 		if int64(len(body)) > maxBody {
 			return nil, false, ErrBodyTooLarge
 		}
-		whole := &Response{Status: res.StatusCode, Header: res.Header, Trailer: res.Trailer, Body: body}
-		if own != nil && !own(whole) {
+		response := &Response{Status: res.StatusCode, Header: res.Header, Trailer: res.Trailer, Body: body}
+		if accept != nil && !accept(response) {
 			if res.Close {
-				return nil, false, errors.New("connection closed after the answer to another request")
+				return nil, false, errors.New("connection closed after a response to another request")
 			}
 			continue
 		}
-		return whole, !res.Close && l.reader.Buffered() == 0, nil
+		return response, !res.Close && pc.reader.Buffered() == 0, nil
 	}
 }
--- a/internal/http1/transport_test.go
+++ b/internal/http1/transport_test.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// TestTurnedAwayIsNotSent guards against requests that count as lost, and may have
-// run, although the peer reset the connection right after it was opened.
+// TestTurnedAwayIsNotSent guards against requests that are reported as lost, with an
+// unknown outcome, although the peer reset the connection right after it was opened.
 func TestTurnedAwayIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,7 +28,7 @@
 		}
 	}()
 	tr := NewTransport(TransportConfig{DialTimeout: time.Second, IdleTimeout: time.Second, MaxBody: 1 << 10, MaxIdle: 1, TurnsAway: true})
-	const tries = 20 // a busy machine may accept later than the transport waits
+	const tries = 20 // on a busy machine the peer may accept later than the transport waits
 	for range tries {
 		_, err := tr.Do(t.Context(), ln.Addr().String(), &Request{Method: http.MethodGet, Target: "/"}, nil)
 		var notSent *NotSentError
@@ -36,7 +36,7 @@
 			return
 		}
 	}
-	t.Error("no connection was seen to be turned away")
+	t.Error("no request failed with ErrTurnedAway")
 }
 
 func TestStaysOpen(t *testing.T) {
@@ -52,7 +52,7 @@
 		conn, peer := net.Pipe()
 		go c.peer(peer)
 		if got := staysOpen(conn, c.wait); got != c.want {
-			t.Errorf("%s: stays open %t, want %t", name, got, c.want)
+			t.Errorf("%s: staysOpen = %t, want %t", name, got, c.want)
 		}
 		_, _ = conn.Close(), peer.Close()
 	}
