--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,8 +1,9 @@
-// Package upstream speaks to upstreams: control calls and requests.
+// Package upstream implements the client for upstreams: it sends control calls and
+// callers' requests.
 //
-// Renewals have connections of their own, so that requests on a silent
-// connection cannot delay them. After a control call without a response the next
-// one uses a new connection.
+// Requests, control calls and renewals use separate connections, so that an
+// unresponsive connection of one kind does not delay the others. After a control call
+// without a response the next one uses a new connection.
 package upstream
 
 import (
@@ -20,57 +21,60 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Client holds the connections to upstreams.
+// Client sends requests and control calls to upstreams and pools the connections to
+// them.
 type Client struct {
 	client *http1.Client
 
 	mu    sync.Mutex
-	pools map[string]*pools
+	pools map[string]*addrPools
 }
 
-// pools are the connections to one address.
-type pools struct {
+// addrPools holds the connection pools for one address. renew carries Hello and Renew
+// calls, control the other control calls.
+type addrPools struct {
 	requests, control, renew *http1.Pool
 }
 
 type (
-	// Call is a control call, as package dispatch decides it.
+	// Call is a control call that package dispatch has requested.
 	Call = dispatch.Call
 	// Reply is the response to a control call.
 	Reply = dispatch.Reply
 )
 
 const (
-	// requestConns leaves the control connections room within the 120
+	// maxRequestConns leaves room for the control connections within the 120
 	// connections that an upstream accepts.
-	requestConns = 100
-	controlConns = 4
-	dialTimeout  = 200 * time.Millisecond
+	maxRequestConns = 100
+	maxControlConns = 4
+	dialTimeout     = 200 * time.Millisecond
 )
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(client *http1.Client) *Client {
-	return &Client{client: client, pools: make(map[string]*pools)}
+	return &Client{client: client, pools: make(map[string]*addrPools)}
 }
 
-func (c *Client) pool(addr string) *pools {
+func (c *Client) poolsFor(addr string) *addrPools {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pools[addr]
 	if p == nil {
-		conns := func(n int) *http1.Pool {
+		newPool := func(n int) *http1.Pool {
 			return c.client.NewPool(addr, http1.PoolConfig{MaxConns: n, DialTimeout: dialTimeout})
 		}
-		p = &pools{requests: conns(requestConns), control: conns(controlConns), renew: conns(controlConns)}
+		p = &addrPools{requests: newPool(maxRequestConns), control: newPool(maxControlConns), renew: newPool(maxControlConns)}
 		c.pools[addr] = p
 	}
 	return p
 }
 
 // CloseIdle closes the idle request connections to addr.
-func (c *Client) CloseIdle(addr string) { c.pool(addr).requests.CloseIdle() }
+func (c *Client) CloseIdle(addr string) { c.poolsFor(addr).requests.CloseIdle() }
 
-// Forget closes all connections to addr. Requests in flight are lost.
+// Forget closes all connections to addr and removes their pools. Requests in flight
+// fail as lost.
 func (c *Client) Forget(addr string) {
 	c.mu.Lock()
 	p := c.pools[addr]
@@ -83,25 +87,25 @@
 	}
 }
 
-// RefusedError reports a control call that the upstream answered but did not
-// accept.
+// RefusedError reports a control call that the upstream answered with a status other
+// than 200 and below 500.
 type RefusedError struct {
 	Addr   string
 	Kind   dispatch.CallKind
 	Status int
-	Fence  fleet.Fence // highest dispatcher fence that the upstream has seen; 0 if not told
+	Fence  fleet.Fence // highest dispatcher fence that the upstream has seen; 0 if it sent none
 }
 
 func (e *RefusedError) Error() string {
 	return e.Kind.String() + " refused by " + e.Addr + ": status " + strconv.Itoa(e.Status) + ", fence " + e.Fence.String()
 }
 
-// Control sends a control call. The error is a *RefusedError if the upstream
-// answered.
+// Control sends a control call and waits for the reply. The error is a *RefusedError
+// if the upstream refused the call.
 func (c *Client) Control(ctx context.Context, addr string, call Call) (Reply, error) {
-	p := c.pool(addr).control
+	p := c.poolsFor(addr).control
 	if call.Kind == dispatch.Hello || call.Kind == dispatch.Renew {
-		p = c.pool(addr).renew
+		p = c.poolsFor(addr).renew
 	}
 	res, err := p.Do(ctx, &http1.Request{
 		Method: http.MethodPost, Target: controlPath + call.Kind.String(),
@@ -119,12 +123,12 @@
 		return Reply{}, &RefusedError{Addr: addr, Kind: call.Kind, Status: res.Status, Fence: reply.Fence}
 	}
 	if err != nil {
-		return Reply{}, errors.Wrapf(err, "%s to %s: response", call.Kind, addr)
+		return Reply{}, errors.Wrapf(err, "%s to %s: decode response", call.Kind, addr)
 	}
 	return reply, nil
 }
 
-// ControlResult converts what Control returned for an action.
+// ControlResult converts the results of Control to the result of action a.
 func ControlResult(a dispatch.SendControl, reply Reply, err error) dispatch.ControlResult {
 	res := dispatch.ControlResult{Upstream: a.Upstream, Seq: a.Seq, Reply: reply, OK: err == nil}
 	var refused *RefusedError
@@ -134,7 +138,7 @@
 	return res
 }
 
-// Request is one attempt of a caller's request.
+// Request is one attempt to send a caller's request to an upstream.
 type Request struct {
 	Send    dispatch.SendRequest
 	Account fleet.AccountID
@@ -145,11 +149,11 @@
 	Body    []byte
 }
 
-// Error is the end of an attempt without a response for the caller. It wraps a
+// Error reports an attempt that yielded no response for the caller. It wraps a
 // *fleet.Refusal.
 type Error struct {
 	Kind    dispatch.ResultKind
-	Boot    fleet.BootID // if the upstream answered
+	Boot    fleet.BootID // set if the upstream answered
 	Refusal *fleet.Refusal
 	Err     error // cause, or nil
 }
@@ -164,7 +168,7 @@
 // Unwrap returns the refusal.
 func (e *Error) Unwrap() error { return e.Refusal }
 
-// Result converts what Do returned for Table.Done.
+// Result converts the results of Do to the argument of dispatch.Table.Done.
 func Result(res *http1.Response, err error) dispatch.Result {
 	var e *Error
 	switch {
@@ -177,27 +181,27 @@
 	}
 }
 
-// Do sends an attempt and waits for the response, the deadline or the end of
-// ctx. The error is an *Error.
+// Do sends one attempt and waits for the response, the deadline or the end of ctx.
+// The error is an *Error.
 func (c *Client) Do(ctx context.Context, addr string, r Request) (*http1.Response, error) {
 	now := time.Now()
 	if !now.Before(r.Send.StartBy) || !now.Before(r.Send.Deadline) {
-		return nil, failure(dispatch.Skipped, fleet.ReasonDeadline, "the time to start has passed", nil)
+		return nil, newError(dispatch.Skipped, fleet.ReasonDeadline, "the time to start has passed", nil)
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.Send.Deadline)
 	defer cancel()
-	p := c.pool(addr).requests
+	p := c.poolsFor(addr).requests
 	if r.Send.Fresh {
 		p.CloseIdle()
 	}
 	res, err := p.Do(ctx, &http1.Request{
-		Method: r.Method, Target: r.Target, Host: r.Host, Body: r.Body, Header: headers(now, r),
+		Method: r.Method, Target: r.Target, Host: r.Host, Body: r.Body, Header: requestHeader(now, r),
 	})
 	if err != nil {
-		return nil, classify(err)
+		return nil, classifyError(err)
 	}
-	if err := check(r.Send.ID, res); err != nil {
-		// The pool has taken the connection back already and closes it with the
+	if err := checkResponse(r.Send.ID, res); err != nil {
+		// The connection has already been returned to the pool and is closed with the
 		// other idle ones.
 		if err.Kind == dispatch.BadAnswer {
 			p.CloseIdle()
@@ -207,7 +211,7 @@
 	return res, nil
 }
 
-func headers(now time.Time, r Request) http.Header {
+func requestHeader(now time.Time, r Request) http.Header {
 	h := r.Header.Clone()
 	if h == nil {
 		h = make(http.Header)
@@ -227,41 +231,43 @@
 	h.Set(fleet.HeaderFence, r.Send.Fence.String())
 	h.Set(fleet.HeaderRequestID, string(r.Send.ID))
 	h.Set(fleet.HeaderDeadline, strconv.FormatInt(r.Send.Deadline.Sub(now).Milliseconds(), 10))
-	h.Set(fleet.HeaderStartBy, strconv.FormatInt(startBy(now, r.Send.StartBy), 10))
+	h.Set(fleet.HeaderStartBy, strconv.FormatInt(startByMillis(now, r.Send.StartBy), 10))
 	return h
 }
 
-// startBy converts to Unix milliseconds. The monotonic reading decides, because
-// the wall clock may have been set since the start-by time was computed.
-func startBy(now, by time.Time) int64 {
+// startByMillis converts the start-by time to Unix milliseconds on the current wall
+// clock. It uses the monotonic clock readings, because the wall clock may have been
+// set since the start-by time was computed.
+func startByMillis(now, by time.Time) int64 {
 	return now.Round(0).Add(by.Sub(now)).UnixMilli()
 }
 
-func failure(kind dispatch.ResultKind, reason fleet.Reason, detail string, cause error) *Error {
+func newError(kind dispatch.ResultKind, reason fleet.Reason, detail string, cause error) *Error {
 	return &Error{Kind: kind, Refusal: &fleet.Refusal{Reason: reason, Detail: detail}, Err: cause}
 }
 
-func classify(err error) *Error {
+func classifyError(err error) *Error {
 	var notSent *http1.NotSentError
 	switch {
 	case errors.As(err, &notSent) && (errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)):
-		return failure(dispatch.Skipped, fleet.ReasonDeadline, "the deadline passed before the request was sent", err)
+		return newError(dispatch.Skipped, fleet.ReasonDeadline, "the deadline passed before the request was sent", err)
 	case errors.As(err, &notSent) && (errors.Is(err, http1.ErrPoolFull) || errors.Is(err, http1.ErrPoolClosed)):
-		return failure(dispatch.Skipped, fleet.ReasonOverloaded, "no connection to the upstream is free", err)
+		return newError(dispatch.Skipped, fleet.ReasonOverloaded, "no connection to the upstream is free", err)
 	case errors.As(err, &notSent):
-		return failure(dispatch.NotSent, fleet.ReasonNoOwner, "no connection to the owner", err)
+		return newError(dispatch.NotSent, fleet.ReasonNoOwner, "no connection to the owner", err)
 	case errors.Is(err, context.DeadlineExceeded):
-		return failure(dispatch.TimedOut, fleet.ReasonTimeout, "no response before the deadline", err)
+		return newError(dispatch.TimedOut, fleet.ReasonTimeout, "no response before the deadline", err)
 	default:
-		return failure(dispatch.Lost, fleet.ReasonConnectionLost, "the connection to the upstream was lost", err)
+		return newError(dispatch.Lost, fleet.ReasonConnectionLost, "the connection to the upstream was lost", err)
 	}
 }
 
-// check returns why a response does not go to the caller, or nil.
-func check(id fleet.RequestID, res *http1.Response) *Error {
+// checkResponse returns nil if a response may be passed on to the caller, and the
+// error of the attempt otherwise.
+func checkResponse(id fleet.RequestID, res *http1.Response) *Error {
 	boot := fleet.BootID(res.Header.Get(fleet.HeaderBoot))
 	if res.Header.Get(fleet.HeaderRequestID) != string(id) || boot == "" {
-		return failure(dispatch.BadAnswer, fleet.ReasonBadAnswer, "the response belongs to another request", nil)
+		return newError(dispatch.BadAnswer, fleet.ReasonBadAnswer, "the response belongs to another request", nil)
 	}
 	if res.Header.Get(fleet.HeaderOutcome) != string(fleet.NotRun) {
 		return nil
@@ -269,12 +275,12 @@
 	var err *Error
 	switch res.Status {
 	case http.StatusConflict:
-		err = failure(dispatch.Stale, fleet.ReasonNoOwner, "the upstream does not hold the grant", nil)
+		err = newError(dispatch.Stale, fleet.ReasonNoOwner, "the upstream does not hold the grant", nil)
 	case http.StatusServiceUnavailable:
-		err = failure(dispatch.Shed, fleet.ReasonOverloaded, "the upstream has no free slot", nil)
+		err = newError(dispatch.Shed, fleet.ReasonOverloaded, "the upstream has no free slot", nil)
 		err.Refusal.RetryAfter = time.Second
 	default:
-		err = failure(dispatch.Skipped, fleet.ReasonDeadline, "the upstream received the request too late", nil)
+		err = newError(dispatch.Skipped, fleet.ReasonDeadline, "the upstream received the request too late", nil)
 	}
 	err.Boot = boot
 	return err
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -19,7 +19,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Guards against fields that are lost or confused between client and upstream.
+// Guards against fields of control calls and replies that are lost or mixed up by
+// encoding and decoding.
 func TestCodec(t *testing.T) {
 	grants := []fleet.Grant{{Unit: fleet.Unit{Service: "s", Shard: 3}, Fence: 1 << 60}, {Unit: fleet.Unit{Service: "s", Pin: "ä/\"\n"}, Fence: 2}}
 	for _, c := range []dispatch.Call{
@@ -43,16 +44,17 @@
 	}
 }
 
-// driver executes the actions of a table.
-type driver struct {
-	mu     sync.Mutex
-	table  *dispatch.Table
-	client *upstream.Client
-	ends   map[fleet.RequestID]chan bool
-	wg     sync.WaitGroup
+// tableDriver executes the actions of a dispatch.Table. The channel of a request
+// receives whether the request was answered.
+type tableDriver struct {
+	mu       sync.Mutex
+	table    *dispatch.Table
+	client   *upstream.Client
+	answered map[fleet.RequestID]chan bool
+	wg       sync.WaitGroup
 }
 
-func (d *driver) do(f func(now time.Time) []dispatch.Action) {
+func (d *tableDriver) run(f func(now time.Time) []dispatch.Action) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range f(time.Now()) {
@@ -62,40 +64,41 @@
 				ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 				defer cancel()
 				reply, err := d.client.Control(ctx, a.Address, a.Call)
-				d.do(func(now time.Time) []dispatch.Action {
+				d.run(func(now time.Time) []dispatch.Action {
 					return d.table.ControlDone(now, upstream.ControlResult(a, reply, err))
 				})
 			})
 		case dispatch.SendRequest:
 			d.wg.Go(func() {
 				res, err := d.client.Do(context.Background(), a.Address, upstream.Request{Send: a, Method: http.MethodGet, Target: "/k"})
-				d.do(func(now time.Time) []dispatch.Action {
+				d.run(func(now time.Time) []dispatch.Action {
 					return d.table.Done(now, a.ID, a.Attempt, upstream.Result(res, err))
 				})
 			})
 		case dispatch.Answer:
-			d.ends[a.ID] <- true
+			d.answered[a.ID] <- true
 		case dispatch.Refuse:
-			d.ends[a.ID] <- false
+			d.answered[a.ID] <- false
 		}
 	}
 }
 
-func (d *driver) request(id fleet.RequestID) bool {
-	end := make(chan bool, 1)
+func (d *tableDriver) request(id fleet.RequestID) bool {
+	answered := make(chan bool, 1)
 	d.mu.Lock()
-	d.ends[id] = end
+	d.answered[id] = answered
 	d.mu.Unlock()
-	d.do(func(now time.Time) []dispatch.Action {
+	d.run(func(now time.Time) []dispatch.Action {
 		return d.table.Submit(now, dispatch.Request{
 			ID: id, Account: "a", Unit: fleet.Unit{Service: "s"}, Key: "k", Upstream: "u1", Deadline: now.Add(5 * time.Second),
 		})
 	})
-	return <-end
+	return <-answered
 }
 
-// Guards against a table, client and upstream that do not fit together, and
-// against a limit that grows faster than a cold upstream warms.
+// Guards against a dispatch table, client and upstream that do not interoperate, and
+// against a concurrency limit that grows faster than a cold upstream warms up, which
+// overloads it.
 func TestColdStart(t *testing.T) {
 	var history bytes.Buffer
 	server, err := standin.Start(standin.Config{
@@ -111,12 +114,12 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	d := &driver{
+	d := &tableDriver{
 		table: dispatch.New(dispatch.Config{}), client: upstream.New(c),
-		ends: make(map[fleet.RequestID]chan bool),
+		answered: make(map[fleet.RequestID]chan bool),
 	}
-	d.do(func(now time.Time) []dispatch.Action { return d.table.Tick(now, now.Add(time.Second)) })
-	d.do(func(now time.Time) []dispatch.Action {
+	d.run(func(now time.Time) []dispatch.Action { return d.table.Tick(now, now.Add(time.Second)) })
+	d.run(func(now time.Time) []dispatch.Action {
 		return d.table.Assign(now, []dispatch.Duty{{
 			Upstream: "u1", Service: "s", Address: server.Addr(), Fence: 7, Slots: 6, ColdSlots: 2, WarmTime: 400 * time.Millisecond, Fenced: true, Taken: now,
 			Units: []assignment.Ownership{{Unit: fleet.Unit{Service: "s"}, Owner: "u1", Fence: 11}},
@@ -126,7 +129,7 @@
 	go func() {
 		defer close(ticking)
 		for tick := time.NewTicker(10 * time.Millisecond); ; {
-			d.do(func(now time.Time) []dispatch.Action { return d.table.Tick(now, now.Add(time.Second)) })
+			d.run(func(now time.Time) []dispatch.Action { return d.table.Tick(now, now.Add(time.Second)) })
 			select {
 			case <-stop:
 				return
@@ -151,7 +154,7 @@
 	d.wg.Wait()
 	limit := d.table.Reports(time.Now())["u1"].Limit
 	if limit != 6 || bytes.Contains(history.Bytes(), []byte(`"event":"overload"`)) {
-		t.Errorf("limit %d, overload %t", limit, bytes.Contains(history.Bytes(), []byte(`"event":"overload"`)))
+		t.Errorf("concurrency limit %d, want 6; overloaded %t, want false", limit, bytes.Contains(history.Bytes(), []byte(`"event":"overload"`)))
 	}
 	t.Logf("%d effects", bytes.Count(history.Bytes(), []byte(`"event":"effect"`)))
 }
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -10,10 +10,11 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// controlPath precedes the kind of a control call in its path.
+// controlPath is the prefix of the URL paths of control calls; the kind follows it.
 const controlPath = "/control/"
 
-// EncodeCall returns the JSON body of a control call. The kind is in the path.
+// EncodeCall returns the JSON body of a control call. The body does not contain the
+// kind, which is in the URL path.
 func EncodeCall(c Call) []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
@@ -46,8 +47,8 @@
 	})
 }
 
-// DecodeCall decodes the body of a control call. The units get the service,
-// which the body does not name.
+// DecodeCall decodes the JSON body of a control call. kind and service, which the body
+// does not contain, are set in the call and in the units of its grants.
 func DecodeCall(kind dispatch.CallKind, service fleet.ServiceID, data []byte) (Call, error) {
 	c := Call{Kind: kind}
 	err := jx.DecodeBytes(data).Obj(func(d *jx.Decoder, key string) error {
@@ -110,7 +111,7 @@
 	return err
 }
 
-// EncodeReply returns the JSON body of a response to a control call.
+// EncodeReply returns the JSON body of the response to a control call.
 func EncodeReply(r Reply) []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
@@ -122,7 +123,7 @@
 	return e.Bytes()
 }
 
-// DecodeReply decodes the response to a control call.
+// DecodeReply decodes the JSON body of the response to a control call.
 func DecodeReply(data []byte) (Reply, error) {
 	var r Reply
 	err := jx.DecodeBytes(data).Obj(func(d *jx.Decoder, key string) error {
@@ -146,7 +147,7 @@
 		}
 	})
 	if err != nil {
-		return Reply{}, errors.Wrap(err, "control response")
+		return Reply{}, errors.Wrap(err, "decode control response")
 	}
 	return r, nil
 }
