--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,12 +1,12 @@
-// Package caller serves callers over HTTP/1.1: it reads a request whole, hands it
-// to the instance, and writes the whole answer or a typed refusal.
+// Package caller implements the HTTP/1.1 handler for callers: it reads a complete
+// request, passes it to the instance, and writes the complete response or a refusal.
 //
-// A refusal has the headers Parsley-Outcome, Parsley-Reason and, where there is
-// advice, Retry-After, and a JSON body with the same. Every answer carries
-// Parsley-Request-Id, which operators can ask about.
+// A refusal has the headers Parsley-Outcome, Parsley-Reason and, if it advises when to
+// retry, Retry-After; its JSON body holds the same values. Every response has the
+// header Parsley-Request-Id, by which operators can look up the request.
 //
-// A HEAD request goes to the upstream as GET, and the body of the answer is
-// dropped: the HTTP library cannot tell the end of an answer to HEAD.
+// A HEAD request is sent to the upstream as GET, and the body of the response is
+// discarded: the HTTP client library cannot detect the end of a response to HEAD.
 package caller
 
 import (
@@ -26,32 +26,33 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Backend serves requests.
+// Backend serves the requests of callers.
 type Backend interface {
 	Serve(ctx context.Context, r route.Incoming, body []byte) (*http1.Response, *fleet.Refusal)
 }
 
-// Health says how the instance is. Live fails if the process should be
-// restarted, Ready if a balancer should send no requests.
+// Health reports the health of the instance. Live returns an error if the process
+// should be restarted, Ready if a load balancer should send no requests.
 type Health interface {
 	Live() error
 	Ready() error
 }
 
-// Limits bounds a request in bytes.
+// Limits holds the largest sizes of a request in bytes.
 type Limits struct {
-	MaxHeader int // names and values together
+	MaxHeader int // names and values of all header fields together
 	MaxBody   int
 }
 
-// Handler returns the handler for callers. The paths below /-/ are the
-// instance's own.
+// Handler returns the HTTP handler for callers. The instance serves the paths below
+// /-/ itself; all other requests go to b.
 func Handler(b Backend, health Health, limits Limits) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/-/", HealthHandler(health))
 	h := &handler{backend: b, limits: limits}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// ServeMux redirects unclean paths, which are the upstream's matter.
+		// Other requests bypass ServeMux, which would redirect paths that are not clean;
+		// how to treat those is up to the upstream.
 		if strings.HasPrefix(r.URL.Path, "/-/") {
 			mux.ServeHTTP(w, r)
 			return
@@ -60,8 +61,8 @@
 	})
 }
 
-// HealthHandler answers GET /-/live and GET /-/ready with 200, or with 503 and
-// the reason.
+// HealthHandler returns a handler that answers GET /-/live and GET /-/ready with
+// status 200, or with status 503 and the error.
 func HealthHandler(health Health) http.Handler {
 	mux := http.NewServeMux()
 	check := func(f func() error) http.HandlerFunc {
@@ -90,7 +91,7 @@
 		Host: r.Host, Header: r.Header, Trailer: r.Trailer,
 	}
 	w.Header().Set(fleet.HeaderRequestID, string(in.RequestID))
-	body, refusal := h.read(r)
+	body, refusal := h.readRequest(r)
 	if refusal != nil {
 		writeRefusal(w, r.Method, in.RequestID, refusal)
 		return
@@ -106,14 +107,14 @@
 	writeResponse(w, r.Method, res)
 }
 
-func (h *handler) read(r *http.Request) ([]byte, *fleet.Refusal) {
-	size := 0
+func (h *handler) readRequest(r *http.Request) ([]byte, *fleet.Refusal) {
+	headerSize := 0
 	for name, values := range r.Header {
 		for _, v := range values {
-			size += len(name) + len(v)
+			headerSize += len(name) + len(v)
 		}
 	}
-	if size > h.limits.MaxHeader {
+	if headerSize > h.limits.MaxHeader {
 		return nil, tooLarge("header", h.limits.MaxHeader)
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, int64(h.limits.MaxBody)+1))
@@ -126,21 +127,22 @@
 	return body, nil
 }
 
-func tooLarge(what string, limit int) *fleet.Refusal {
-	return &fleet.Refusal{Reason: fleet.ReasonTooLarge, Detail: "the " + what + " is larger than " + strconv.Itoa(limit) + " bytes"}
+func tooLarge(part string, limit int) *fleet.Refusal {
+	return &fleet.Refusal{Reason: fleet.ReasonTooLarge, Detail: "the " + part + " is larger than " + strconv.Itoa(limit) + " bytes"}
 }
 
-// connectionHeaders are set anew for each connection.
-var connectionHeaders = map[string]bool{
+// hopByHopHeaders are the headers that apply to a single connection and are not
+// copied to another one.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// CopyHeader copies the end-to-end headers of an answer, without the router's
-// own.
+// CopyHeader copies the end-to-end headers of a response, except for the router's own
+// headers with the prefix "Parsley-".
 func CopyHeader(dst, src http.Header) {
 	for name, values := range src {
-		if !connectionHeaders[name] && !strings.HasPrefix(name, "Parsley-") {
+		if !hopByHopHeaders[name] && !strings.HasPrefix(name, "Parsley-") {
 			dst[name] = values
 		}
 	}
@@ -148,7 +150,7 @@
 
 func writeResponse(w http.ResponseWriter, method string, res *http1.Response) {
 	CopyHeader(w.Header(), res.Header)
-	if bodiless(res.Status) {
+	if forbidsBody(res.Status) {
 		w.WriteHeader(res.Status)
 		return
 	}
@@ -159,11 +161,12 @@
 	}
 }
 
-func bodiless(status int) bool {
+func forbidsBody(status int) bool {
 	return status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// writeRefusal answers with the outcome, the reason and when to try again.
+// writeRefusal writes a response with the outcome, the reason and, if known, the time
+// after which to retry.
 func writeRefusal(w http.ResponseWriter, method string, id fleet.RequestID, r *fleet.Refusal) {
 	h := w.Header()
 	h.Set(fleet.HeaderOutcome, string(r.Reason.Outcome()))
@@ -180,8 +183,8 @@
 	}
 }
 
-// encodeRefusal returns {"outcome":"","reason":"","detail":"","request-id":"",
-// "retry-after-ms":0}.
+// encodeRefusal returns the JSON body of a refusal:
+// {"outcome":"","reason":"","detail":"","request-id":"","retry-after-ms":0}.
 func encodeRefusal(id fleet.RequestID, r *fleet.Refusal) []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -57,9 +57,9 @@
 	return c
 }
 
-// Guards against an answer that leaves the connection out of step: all requests
-// share one connection, so a wrong length would break those that follow. It
-// also guards against refusals without their outcome.
+// Guards against a response with a wrong length: all requests share one connection,
+// so the responses that follow could not be parsed. Also guards against refusals
+// without their outcome.
 func TestAnswers(t *testing.T) {
 	type answer struct {
 		Status  int
@@ -98,7 +98,7 @@
 			t.Fatal(tt.name, err)
 		}
 		if res.StatusCode != tt.want.Status || !strings.Contains(string(body), tt.want.Body) || (tt.want.Body == "" && len(body) > 0) {
-			t.Errorf("%s: answer %d %q", tt.name, res.StatusCode, body)
+			t.Errorf("%s: response with status %d and body %q", tt.name, res.StatusCode, body)
 		}
 		for name, want := range tt.want.Headers {
 			if diff := cmp.Diff(want, res.Header.Get(name)); diff != "" {
