--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs bounds what a process writes to its log. A slow reader never blocks
-// the process: lines that do not fit are dropped and counted.
+// Package logs limits the rate at which a process writes log lines. Writing never
+// blocks: if the reader of the log is slow, excess lines are dropped and counted.
 package logs
 
 import (
@@ -11,66 +11,70 @@
 )
 
 const (
-	// queueLines is about one second of lines at the ceiling.
-	queueLines = 512
-	// routineLines and urgentLines are the ceilings in lines a second. Routine lines
-	// are those of requests that went well.
-	routineLines = 300
-	urgentLines  = 600
+	// queueCapacity is in lines, about one second of logging at maxLines.
+	queueCapacity = 512
+	// maxRoutineLines and maxLines are in lines per second. After maxRoutineLines lines
+	// within a second, the lines of successfully answered requests are dropped; after
+	// maxLines, all lines.
+	maxRoutineLines = 300
+	maxLines        = 600
 )
 
-// Writer passes lines on to another writer.
+// Writer queues log lines and writes them to another writer in the background.
 type Writer struct {
-	lines   chan []byte
-	dropped func()
+	queue  chan []byte
+	onDrop func()
 
-	mu      sync.Mutex
-	second  int64
-	written int
-	lost    int
+	mu            sync.Mutex
+	currentSecond int64
+	written       int
+	droppedLines  int
 }
 
-// NewWriter returns a writer to out. dropped is told of every line that is lost.
+// NewWriter returns a Writer that writes to out. It calls onDrop for every line that
+// is dropped.
 func NewWriter(out io.Writer, dropped func()) *Writer {
-	w := &Writer{lines: make(chan []byte, queueLines), dropped: dropped}
+	w := &Writer{queue: make(chan []byte, queueCapacity), onDrop: dropped}
 	go func() {
-		for line := range w.lines {
-			_, _ = out.Write(line) // there is nowhere to report it
+		for line := range w.queue {
+			_, _ = out.Write(line) // an error of the log itself cannot be logged
 		}
 	}()
 	return w
 }
 
-// routine marks lines that give way to others.
-var routine = []byte(`"@level":"info","@message":"request answered"`)
+// routineMarker is contained in the lines of successfully answered requests, which are
+// dropped before other lines.
+var routineMarker = []byte(`"@level":"info","@message":"request answered"`)
 
-// Write queues one line.
+// Write queues one line or drops it. It never blocks on the underlying writer and
+// returns no error.
 func (w *Writer) Write(line []byte) (int, error) {
-	ceiling := urgentLines
-	if bytes.Contains(line, routine) {
-		ceiling = routineLines
+	limit := maxLines
+	if bytes.Contains(line, routineMarker) {
+		limit = maxRoutineLines
 	}
 	now := time.Now().Unix()
 	w.mu.Lock()
-	if w.second != now {
-		if w.lost > 0 {
-			w.queue([]byte(fmt.Sprintf(`{"@level":"warn","@message":"log lines dropped","lines":%d}`+"\n", w.lost)))
-			w.lost = 0
+	if w.currentSecond != now {
+		if w.droppedLines > 0 {
+			w.enqueue([]byte(fmt.Sprintf(`{"@level":"warn","@message":"log lines dropped","lines":%d}`+"\n", w.droppedLines)))
+			w.droppedLines = 0
 		}
-		w.second, w.written = now, 0
+		w.currentSecond, w.written = now, 0
 	}
 	w.written++
-	if w.written > ceiling || !w.queue(bytes.Clone(line)) {
-		w.lost++
-		w.dropped()
+	if w.written > limit || !w.enqueue(bytes.Clone(line)) {
+		w.droppedLines++
+		w.onDrop()
 	}
 	w.mu.Unlock()
 	return len(line), nil
 }
 
-func (w *Writer) queue(line []byte) bool {
+func (w *Writer) enqueue(line []byte) bool {
 	select {
-	case w.lines <- line:
+	case w.queue <- line:
 		return true
 	default:
 		return false
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Guards against a process that stops because nobody reads its log.
+// Guards against a process that blocks because nobody reads its log.
 func TestFullPipeDoesNotBlock(t *testing.T) {
 	r, out := io.Pipe() // nobody reads
 	defer func() { _ = r.Close() }()
-	lost := 0
-	w := NewWriter(out, func() { lost++ })
+	dropped := 0
+	w := NewWriter(out, func() { dropped++ })
 	done := make(chan bool)
 	go func() {
 		defer close(done)
@@ -27,14 +27,14 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a write to the log blocks")
+		t.Fatal("writing to the log blocks")
 	}
-	if lost == 0 {
-		t.Error("lines that did not fit were not counted")
+	if dropped == 0 {
+		t.Error("no dropped line was counted")
 	}
 }
 
-// buffer is a bytes.Buffer for several goroutines.
+// buffer is a bytes.Buffer that is safe for concurrent use.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -52,18 +52,19 @@
 	return b.b.String()
 }
 
-// Guards against failures that are not logged because too much went well.
-func TestRoutineLinesGiveWay(t *testing.T) {
+// Guards against failures that are not logged because the lines of successful
+// requests have used up the rate limit.
+func TestRoutineLinesAreDroppedFirst(t *testing.T) {
 	var out buffer
 	w := NewWriter(&out, func() {})
-	for range routineLines + 50 {
+	for range maxRoutineLines + 50 {
 		_, _ = w.Write([]byte(`{"@level":"info","@message":"request answered"}` + "\n"))
 	}
 	_, _ = w.Write([]byte(`{"@level":"warn","@message":"request refused or failed"}` + "\n"))
 	deadline := time.Now().Add(5 * time.Second)
 	for !strings.Contains(out.String(), "refused") {
 		if time.Now().After(deadline) {
-			t.Fatal("the failure was dropped")
+			t.Fatal("the line of a failed request was dropped")
 		}
 		time.Sleep(time.Millisecond)
 	}
