--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -19,7 +19,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// observeAll makes every metric appear.
+// observeAll records an observation for every metric, so that all are exported.
 func observeAll(m *Metrics) {
 	m.Served("acme", catalogue.Idempotent, 200, 15*time.Millisecond)
 	m.Refused("", fleet.ReasonUnauthenticated)
@@ -33,7 +33,7 @@
 	m.Upstreams(map[fleet.UpstreamID]assignment.Report{"u": {Limit: 2, InFlight: 1, Queued: 4}})
 }
 
-// Guards against a page that names other metrics than the code has.
+// Guards against a docs/metrics.md that lists other metrics than the code exports.
 func TestPageMatchesMetrics(t *testing.T) {
 	m := New()
 	observeAll(m)
@@ -41,27 +41,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var have []string
+	var registered []string
 	for _, f := range families {
-		have = append(have, f.GetName())
+		registered = append(registered, f.GetName())
 	}
 	page, err := os.ReadFile("../../docs/metrics.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var listed []string
+	var documented []string
 	for _, match := range regexp.MustCompile("(?m)^\\| `(parsley_[a-z_]+)`").FindAllStringSubmatch(string(page), -1) {
-		listed = append(listed, match[1])
+		documented = append(documented, match[1])
 	}
-	slices.Sort(have)
-	slices.Sort(listed)
-	if diff := cmp.Diff(have, listed); diff != "" {
+	slices.Sort(registered)
+	slices.Sort(documented)
+	if diff := cmp.Diff(registered, documented); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Guards against alerts on metrics that do not exist.
-func TestAlertsNameMetrics(t *testing.T) {
+// Guards against alerts that use a metric that does not exist.
+func TestAlertsNameExistingMetrics(t *testing.T) {
 	m := New()
 	observeAll(m)
 	rec := httptest.NewRecorder()
@@ -76,22 +76,22 @@
 	}
 	names := regexp.MustCompile(`parsley_[a-z_]+`).FindAllString(string(alerts), -1)
 	if len(names) == 0 {
-		t.Fatal("no alert names a metric")
+		t.Fatal("alerts.yaml names no metric")
 	}
 	for _, n := range names {
 		if !strings.Contains(string(text), "\n"+n+"{") && !strings.Contains(string(text), "\n"+n+" ") {
-			t.Errorf("alert on %s, which is no series", n)
+			t.Errorf("alerts.yaml names the metric %s, which is not exported", n)
 		}
 	}
 }
 
-// Guards against a series per account without bound.
-func TestAccountsAreBounded(t *testing.T) {
+// Guards against an unbounded number of time series when there are many accounts.
+func TestAccountLabelsAreBounded(t *testing.T) {
 	m := New()
-	for i := range maxAccounts + 50 {
+	for i := range maxAccountLabels + 50 {
 		m.Refused(fleet.AccountID(fmt.Sprint("a", i)), fleet.ReasonRateLimited)
 	}
-	if diff := cmp.Diff(maxAccounts+1, testutil.CollectAndCount(m.refusals)); diff != "" {
+	if diff := cmp.Diff(maxAccountLabels+1, testutil.CollectAndCount(m.refusals)); diff != "" {
 		t.Error(diff)
 	}
 }
