--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,8 @@
 	operatorToken = "operator-token-operator-token"
 )
 
-// load runs the settings through the real flag parser.
+// load parses args with the cli package and loads the settings with the environment
+// variables env.
 func load(t *testing.T, env map[string]string, args ...string) (settings.Serve, error) {
 	t.Helper()
 	for k, v := range env {
@@ -78,8 +79,9 @@
 	}
 }
 
-// Guards against errors that are missing, reported one at a time, without flag,
-// value or what is allowed, or that repeat a secret.
+// Guards against invalid settings that are accepted, against errors that are not all
+// reported at once or lack the flag, the value or the allowed values, and against
+// errors that contain a secret.
 func TestErrors(t *testing.T) {
 	valid := map[string]string{
 		"instance": "i1", "zone": "a", "store": "10.0.0.9:1", "list": "10.0.0.9:2",
@@ -164,7 +166,7 @@
 			}
 			for _, secret := range []string{fleetSecret, operatorToken, "short-secret", "bad secret"} {
 				if strings.Contains(fmt.Sprint(err), secret) {
-					t.Errorf("error repeats a secret: %v", err)
+					t.Errorf("error contains a secret: %v", err)
 				}
 			}
 		})
