--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -70,7 +70,7 @@
 		name, request string
 		want          answer
 	}{
-		{"whole", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi", answer{201, "got hi", map[string]string{"X-Method": "POST", "Parsley-Boot": ""}}},
+		{"content length", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi", answer{201, "got hi", map[string]string{"X-Method": "POST", "Parsley-Boot": ""}}},
 		{"chunked", "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", answer{201, "got hi", nil}},
 		{"head", "HEAD /a HTTP/1.1\r\nHost: x\r\n\r\n", answer{201, "", map[string]string{"X-Method": "GET", "Content-Length": "4"}}},
 		{"no content", "GET /empty HTTP/1.1\r\nHost: x\r\n\r\n", answer{204, "", nil}},
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -236,6 +236,8 @@
 // its file descriptor.
 const maxAttempts = 3
 
+// closedBeforeWrite reports whether a request failed because its connection was closed
+// before the request was written.
 func closedBeforeWrite(err error) bool {
 	var notSent *NotSentError
 	return errors.As(err, &notSent) && (errors.Is(err, net.ErrClosed) || errors.Is(err, nbhttp.ErrClientClosed))
@@ -297,6 +299,8 @@
 	return r, nil
 }
 
+// acquire takes an idle connection from the pool or registers a new one, which dials
+// when it sends its first request.
 func (p *Pool) acquire() (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -333,6 +337,8 @@
 	}
 }
 
+// release returns a connection to the pool after its request, or closes it if the pool
+// is closed.
 func (p *Pool) release(c *conn) {
 	p.mu.Lock()
 	_, registered := p.conns[c]
--- a/internal/http1/pipeline.go
+++ b/internal/http1/pipeline.go
@@ -99,6 +99,8 @@
 	s.waitingSlots[r] = slot
 }
 
+// finishSlot releases the next response after the handler of a request has returned,
+// and closes a rejecting connection after its last request.
 func (s *Server) finishSlot(slot *responseSlot) {
 	s.mu.Lock()
 	slot.pipeline.inFlight--
@@ -113,6 +115,7 @@
 	}
 }
 
+// takeSlot removes and returns the slot of a request that starts.
 func (s *Server) takeSlot(r *http.Request) *responseSlot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/transport.go
+++ b/internal/http1/transport.go
@@ -157,6 +157,7 @@
 	}
 }
 
+// acquire returns a usable idle connection to addr (reused is true) or opens one.
 func (t *Transport) acquire(ctx context.Context, addr string) (pc *persistentConn, reused bool, err error) {
 	now := time.Now()
 	for {
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -19,8 +19,8 @@
 	maxSecretLength        = 4096 // bytes
 	maxSeeds               = 64
 
-	// The TTL must be longer than two polls at an interval of 200 ms, one of them with
-	// a lost response. With a TTL above 5 s a withdrawn caller key would remain valid for
+	// The TTL must be longer than two polls at an interval of 200 ms plus a lost
+	// response. With a TTL above 5 s a withdrawn caller key would remain valid for
 	// longer than a few seconds.
 	minAuthorityTTL = 500 * time.Millisecond
 	maxAuthorityTTL = 5 * time.Second
