--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -57,9 +57,9 @@
 	return c
 }
 
-// Guards against an answer that leaves the connection out of step: all requests
-// share one connection, so a wrong length would break those that follow. It
-// also guards against refusals without their outcome.
+// Guards against a response with a wrong length: all requests share one connection,
+// so the responses that follow could not be parsed. Also guards against refusals
+// without their outcome.
 func TestAnswers(t *testing.T) {
 	type answer struct {
 		Status  int
@@ -70,7 +70,7 @@
 		name, request string
 		want          answer
 	}{
-		{"whole", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi", answer{201, "got hi", map[string]string{"X-Method": "POST", "Parsley-Boot": ""}}},
+		{"content length", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi", answer{201, "got hi", map[string]string{"X-Method": "POST", "Parsley-Boot": ""}}},
 		{"chunked", "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", answer{201, "got hi", nil}},
 		{"head", "HEAD /a HTTP/1.1\r\nHost: x\r\n\r\n", answer{201, "", map[string]string{"X-Method": "GET", "Content-Length": "4"}}},
 		{"no content", "GET /empty HTTP/1.1\r\nHost: x\r\n\r\n", answer{204, "", nil}},
@@ -98,7 +98,7 @@
 			t.Fatal(tt.name, err)
 		}
 		if res.StatusCode != tt.want.Status || !strings.Contains(string(body), tt.want.Body) || (tt.want.Body == "" && len(body) > 0) {
-			t.Errorf("%s: answer %d %q", tt.name, res.StatusCode, body)
+			t.Errorf("%s: response with status %d and body %q", tt.name, res.StatusCode, body)
 		}
 		for name, want := range tt.want.Headers {
 			if diff := cmp.Diff(want, res.Header.Get(name)); diff != "" {
