--- a/cmd/parsleyproxy/commands.go
+++ b/cmd/parsleyproxy/commands.go
@@ -20,7 +20,7 @@
 			"SIGTERM drains the instance and stops it.",
 		Flags: settings.Flags(),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd); err != nil {
+			if err := requireArgs(cmd); err != nil {
 				return err
 			}
 			s, err := settings.FromCommand(cmd)
@@ -85,7 +85,7 @@
 					&cli.StringFlag{Name: "key-from", Usage: "where the routing key is: header, query or path-segment"},
 					&cli.StringFlag{Name: "key-name", Usage: "name of the header or query parameter"},
 					&cli.IntFlag{Name: "key-segment", Usage: "number of the path segment, from 0", HideDefault: true},
-					&cli.BoolFlag{Name: "open", Usage: "admit callers without a caller key; --open=false ends it"},
+					&cli.BoolFlag{Name: "open", Usage: "admit callers without a caller key; --open=false requires a key again"},
 					&cli.StringFlag{Name: "accounts", Usage: "client accounts that may use it, separated by commas; empty: all"},
 				),
 				Action: setEntry,
@@ -111,7 +111,7 @@
 				Action: setAccount,
 			},
 			{
-				Name: "remove", Usage: "remove a client account without caller keys and entries of its own", ArgsUsage: "ID",
+				Name: "remove", Usage: "remove a client account that has no caller keys and that no entry names", ArgsUsage: "ID",
 				Flags: changeFlags(), Action: removeAccount,
 			},
 		},
@@ -133,7 +133,8 @@
 				Name: "withdraw", Usage: "withdraw a caller key by its hash, or by its first 8 digits or more", ArgsUsage: "HASH",
 				Description: "With - as HASH the caller key itself is read from standard input.",
 				Flags:       changeFlags(), Action: withdrawKey,
-				// The argument may be a caller key by mistake; the library's errors repeat it.
+				// The argument may be a caller key given by mistake. The library's error
+				// would print it, so it is replaced.
 				OnUsageError: func(_ context.Context, cmd *cli.Command, _ error, _ bool) error {
 					return usagef("unknown flag or bad value; see %s --help", cmd.FullName())
 				},
@@ -143,23 +144,23 @@
 }
 
 func outCommand() *cli.Command {
-	return outageCommand("out", "take an upstream, an instance or a zone out of service", takeOut)
+	return outageCommand("out", "take an upstream, an instance or a zone out of service", takeOutOfService)
 }
 
 func backCommand() *cli.Command {
-	return outageCommand("back", "bring an upstream, an instance or a zone back into service", bringBack)
+	return outageCommand("back", "bring an upstream, an instance or a zone back into service", returnToService)
 }
 
-func outageCommand(name, usage string, do func(context.Context, *cli.Command, catalogue.OutageKind) error) *cli.Command {
+func outageCommand(name, usage string, action func(context.Context, *cli.Command, catalogue.OutageKind) error) *cli.Command {
 	c := &cli.Command{Name: name, Usage: usage, Flags: clientFlags()}
 	for _, kind := range []catalogue.OutageKind{catalogue.OutageUpstream, catalogue.OutageInstance, catalogue.OutageZone} {
 		flags := changeFlags()
 		if name == "out" {
-			flags = append(flags, &cli.BoolFlag{Name: "force", Usage: "also if the fleet does not know the name"})
+			flags = append(flags, &cli.BoolFlag{Name: "force", Usage: "store the outage even if the fleet does not know the name"})
 		}
 		c.Commands = append(c.Commands, &cli.Command{
 			Name: string(kind), Usage: "name of the " + string(kind), ArgsUsage: "NAME", Flags: flags,
-			Action: func(ctx context.Context, cmd *cli.Command) error { return do(ctx, cmd, kind) },
+			Action: func(ctx context.Context, cmd *cli.Command) error { return action(ctx, cmd, kind) },
 		})
 	}
 	return c
@@ -177,7 +178,7 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "explain",
-		Usage: "explain who owns a routing key, or why requests were refused",
+		Usage: "explain which upstream owns a routing key, or why requests were refused",
 		Flags: append(clientFlags(), jsonFlag()),
 		Commands: []*cli.Command{
 			{Name: "key", Usage: "owner of a routing key, since when and why", ArgsUsage: "SERVICE KEY", Action: explainKey},
@@ -191,8 +192,9 @@
 	return &cli.BoolFlag{Name: "json", Usage: "print JSON"}
 }
 
-// wantArgs checks the number of arguments, which are named for the error.
-func wantArgs(cmd *cli.Command, names ...string) error {
+// requireArgs returns a usage error unless the command has one non-empty argument for
+// each of names. The names appear in the error.
+func requireArgs(cmd *cli.Command, names ...string) error {
 	args := cmd.Args().Slice()
 	if len(args) > len(names) {
 		return usagef("unexpected argument %q; see %s --help", args[len(names)], cmd.FullName())
@@ -209,7 +211,7 @@
 }
 
 func explainKey(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, "SERVICE", "KEY"); err != nil {
+	if err := requireArgs(cmd, "SERVICE", "KEY"); err != nil {
 		return err
 	}
 	return showExplanation(ctx, cmd, keyQuery(cmd.Args().Get(0), cmd.Args().Get(1)))
--- a/cmd/parsleyproxy/docs_test.go
+++ b/cmd/parsleyproxy/docs_test.go
@@ -15,8 +15,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Guards against flags, defaults, reasons and alarms that docs/OPERATIONS.md lacks,
-// and against an example catalogue there that is refused.
+// Guards against flags, defaults, refusal reasons, alarms and exit codes that are
+// missing from docs/OPERATIONS.md, and against an invalid example catalogue there.
 func TestOperationsPage(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -25,7 +25,7 @@
 	page := string(data)
 	want := func(text string) {
 		if !strings.Contains(page, text) {
-			t.Errorf("docs/OPERATIONS.md lacks %q", text)
+			t.Errorf("docs/OPERATIONS.md does not contain %q", text)
 		}
 	}
 	for _, f := range settings.Flags() {
@@ -36,14 +36,14 @@
 		}
 		want(row)
 	}
-	checkFlags(newRoot(nil, io.Discard, io.Discard), want)
+	checkFlagsDocumented(newRoot(nil, io.Discard, io.Discard), want)
 	for reason, status := range fleet.Reasons() {
 		want(fmt.Sprintf("| `%s` | %d | `%s` |", reason, status, reason.Outcome()))
 	}
 	for _, name := range operator.AlarmNames() {
 		want(fmt.Sprintf("| `%s` | ", name))
 	}
-	for code := range codeStored + 1 {
+	for code := range codeNotInForce + 1 {
 		want(fmt.Sprintf("\n| %d | ", code))
 	}
 	_, example, _ := strings.Cut(page, "```yaml\n")
@@ -53,11 +53,12 @@
 	}
 }
 
-func checkFlags(c *cli.Command, want func(string)) {
+// checkFlagsDocumented calls want with every flag of c and of its subcommands.
+func checkFlagsDocumented(c *cli.Command, want func(string)) {
 	for _, f := range c.Flags {
 		want("`--" + f.Names()[0] + "`")
 	}
 	for _, sub := range c.Commands {
-		checkFlags(sub, want)
+		checkFlagsDocumented(sub, want)
 	}
 }
--- a/cmd/parsleyproxy/edit.go
+++ b/cmd/parsleyproxy/edit.go
@@ -19,16 +19,18 @@
 )
 
 const (
-	callerKeyBytes = 32 // random bytes of a caller key
-	// callerKeyPrefix keeps keys from starting with a dash, which command lines take
-	// for a flag and repeat in errors, and lets secret scanners find them.
+	callerKeyBytes = 32 // number of random bytes in a caller key
+	// callerKeyPrefix lets secret scanners recognize caller keys. It also prevents a key
+	// from starting with a dash: as an argument it would be parsed as a flag and
+	// printed in the error.
 	callerKeyPrefix = "pk_"
-	minHashPrefix   = 8 // hexadecimal digits
+	minHashPrefix   = 8 // shortest accepted hash prefix, in hexadecimal digits
 )
 
-// editNamed runs an edit of the item that the only argument names.
-func editNamed(ctx context.Context, cmd *cli.Command, arg string, f func(c *catalogue.Catalogue, name string) error) error {
-	if err := wantArgs(cmd, arg); err != nil {
+// editByName edits the catalogue with f, which gets the command's only argument as
+// name. arg is the argument's name in usage errors.
+func editByName(ctx context.Context, cmd *cli.Command, arg string, f func(c *catalogue.Catalogue, name string) error) error {
+	if err := requireArgs(cmd, arg); err != nil {
 		return err
 	}
 	return withSession(cmd, func(s *session) error {
@@ -38,18 +40,18 @@
 }
 
 func setEntry(ctx context.Context, cmd *cli.Command) error {
-	return editNamed(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
+	return editByName(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
 		i := slices.IndexFunc(c.Entries, func(e catalogue.Entry) bool { return string(e.ID) == name })
 		if i < 0 {
 			i = len(c.Entries)
 			c.Entries = append(c.Entries, catalogue.Entry{ID: fleet.EntryID(name)})
 		}
 		e := &c.Entries[i]
-		setText(cmd, "owner", &e.Owner)
-		setText(cmd, "service", &e.Service)
-		setText(cmd, "path-prefix", &e.PathPrefix)
-		setText(cmd, "class", &e.Class)
-		setKeySource(cmd, &e.RoutingKey)
+		setString(cmd, "owner", &e.Owner)
+		setString(cmd, "service", &e.Service)
+		setString(cmd, "path-prefix", &e.PathPrefix)
+		setString(cmd, "class", &e.Class)
+		setRoutingKeySource(cmd, &e.RoutingKey)
 		if cmd.IsSet("open") {
 			e.Open = cmd.Bool("open")
 		}
@@ -60,18 +62,19 @@
 	})
 }
 
-func setText[T ~string](cmd *cli.Command, flag string, v *T) {
+func setString[T ~string](cmd *cli.Command, flag string, v *T) {
 	if cmd.IsSet(flag) {
 		*v = T(cmd.String(flag))
 	}
 }
 
-// setKeySource drops what does not belong to a new kind of source.
-func setKeySource(cmd *cli.Command, k *catalogue.KeySource) {
+// setRoutingKeySource sets the source of the routing key from the --key- flags. If
+// --key-from changes, the name and segment of the previous source are cleared.
+func setRoutingKeySource(cmd *cli.Command, k *catalogue.KeySource) {
 	if cmd.IsSet("key-from") && string(k.From) != cmd.String("key-from") {
 		*k = catalogue.KeySource{From: catalogue.KeyFrom(cmd.String("key-from"))}
 	}
-	setText(cmd, "key-name", &k.Name)
+	setString(cmd, "key-name", &k.Name)
 	if cmd.IsSet("key-segment") {
 		k.Segment = cmd.Int("key-segment")
 	}
@@ -102,22 +105,23 @@
 		l.Burst = fleet.Tokens(cmd.Int64("burst"))
 	}
 	if (cmd.IsSet("rate") || cmd.IsSet("burst")) && l.Unlimited() {
-		// A limit of zero would be stored as no limit.
+		// A zero limit means "no limit" in the catalogue, so it must not be stored
+		// for an operator who wants to refuse all requests.
 		return usagef("--rate and --burst: want more than 0; --no-limit removes a limit, key withdraw and account remove refuse callers")
 	}
 	return nil
 }
 
 func removeEntry(ctx context.Context, cmd *cli.Command) error {
-	return editNamed(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
+	return editByName(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
 		n := len(c.Entries)
 		c.Entries = slices.DeleteFunc(c.Entries, func(e catalogue.Entry) bool { return string(e.ID) == name })
-		return removed("entry", name, n, len(c.Entries))
+		return requireRemoval("entry", name, n, len(c.Entries))
 	})
 }
 
 func setAccount(ctx context.Context, cmd *cli.Command) error {
-	return editNamed(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
+	return editByName(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
 		i := slices.IndexFunc(c.Accounts, func(a catalogue.Account) bool { return string(a.ID) == name })
 		if i < 0 {
 			i = len(c.Accounts)
@@ -128,29 +132,32 @@
 }
 
 func removeAccount(ctx context.Context, cmd *cli.Command) error {
-	return editNamed(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
+	return editByName(ctx, cmd, "ID", func(c *catalogue.Catalogue, name string) error {
 		n := len(c.Accounts)
 		c.Accounts = slices.DeleteFunc(c.Accounts, func(a catalogue.Account) bool { return string(a.ID) == name })
-		return removed("account", name, n, len(c.Accounts))
+		return requireRemoval("account", name, n, len(c.Accounts))
 	})
 }
 
-func removed(kind, name string, before, after int) error {
+// requireRemoval returns a usage error if no item was removed. before and after are
+// the numbers of items.
+func requireRemoval(kind, name string, before, after int) error {
 	if before == after {
 		return usagef("%s %q: there is no such %s", kind, name, kind)
 	}
 	return nil
 }
 
-// grantKey prints the caller key only after the store has accepted its hash. Then
-// it is printed also if it is not in force yet, since it cannot be had again.
+// grantKey creates a caller key and prints it once the store has accepted its hash,
+// even if the change is not in force yet: only the hash is stored, so that the key
+// cannot be printed later.
 func grantKey(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, "ACCOUNT"); err != nil {
+	if err := requireArgs(cmd, "ACCOUNT"); err != nil {
 		return err
 	}
 	secret := make([]byte, callerKeyBytes)
 	if _, err := rand.Read(secret); err != nil {
-		return errors.Wrap(err, "random bytes for the caller key")
+		return errors.Wrap(err, "generate the caller key")
 	}
 	key := fleet.CallerKey(callerKeyPrefix + base64.RawURLEncoding.EncodeToString(secret))
 	return withSession(cmd, func(s *session) error {
@@ -161,7 +168,7 @@
 			return nil
 		})
 		if stored {
-			if _, err := fmt.Fprintln(s.out, string(key)); err != nil {
+			if _, err := fmt.Fprintln(s.results, string(key)); err != nil {
 				return &grantUnknownError{key.Hash(), errors.Wrap(err, "print the caller key")}
 			}
 		}
@@ -174,18 +181,18 @@
 }
 
 func withdrawKey(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, "HASH"); err != nil {
+	if err := requireArgs(cmd, "HASH"); err != nil {
 		return err
 	}
 	prefix := strings.ToLower(cmd.Args().First())
 	if prefix == "-" {
-		data, err := readAll(cmd.Root().Reader)
+		data, err := readInput(cmd.Root().Reader)
 		if err != nil {
 			return errors.Wrap(err, "read the caller key")
 		}
 		prefix = fleet.CallerKey(strings.TrimRight(string(data), "\r\n")).Hash().String()
 	}
-	// The text is not repeated in errors: it may be the caller key by mistake.
+	// Errors do not contain the argument: it may be a caller key given by mistake.
 	if len(prefix) < minHashPrefix || strings.Trim(prefix, "0123456789abcdef") != "" {
 		return usagef("HASH: want %d to 64 hexadecimal digits of the hash, or - to read the caller key from standard input", minHashPrefix)
 	}
@@ -207,22 +214,22 @@
 	})
 }
 
-func takeOut(ctx context.Context, cmd *cli.Command, kind catalogue.OutageKind) error {
-	if err := wantArgs(cmd, "NAME"); err != nil {
+func takeOutOfService(ctx context.Context, cmd *cli.Command, kind catalogue.OutageKind) error {
+	if err := requireArgs(cmd, "NAME"); err != nil {
 		return err
 	}
 	name := cmd.Args().First()
 	return withSession(cmd, func(s *session) error {
 		if !cmd.Bool("force") {
-			if err := s.checkName(ctx, kind, name); err != nil {
+			if err := s.checkKnownName(ctx, kind, name); err != nil {
 				return err
 			}
 		}
 		_, err := s.edit(ctx, func(c *catalogue.Catalogue) error {
 			if o, out := c.Out(kind, name); out {
-				return usagef("%s %q: out of service since %s, taken out by %s", kind, name, stamp(o.At), o.By)
+				return usagef("%s %q: out of service since %s, taken out by %s", kind, name, formatTime(o.At), o.By)
 			}
-			// The record has whole seconds; more digits say nothing to an operator.
+			// Whole seconds are precise enough for operators.
 			at := time.Now().UTC().Truncate(time.Second)
 			c.OutOfService = append(c.OutOfService, catalogue.Outage{Kind: kind, Name: name, By: cmd.String("by"), At: at})
 			return nil
@@ -231,9 +238,9 @@
 	})
 }
 
-// checkName refuses names that the fleet does not know: a misspelt name would be
-// stored and have no effect.
-func (s *session) checkName(ctx context.Context, kind catalogue.OutageKind, name string) error {
+// checkKnownName returns a usage error if the fleet has no upstream, instance or zone
+// with this name: an outage with a misspelt name would be stored without any effect.
+func (s *session) checkKnownName(ctx context.Context, kind catalogue.OutageKind, name string) error {
 	st, err := s.status(ctx)
 	if err != nil {
 		return err
@@ -263,8 +270,8 @@
 		kind, name, strings.Join(slices.Compact(known), ", "))
 }
 
-func bringBack(ctx context.Context, cmd *cli.Command, kind catalogue.OutageKind) error {
-	return editNamed(ctx, cmd, "NAME", func(c *catalogue.Catalogue, name string) error {
+func returnToService(ctx context.Context, cmd *cli.Command, kind catalogue.OutageKind) error {
+	return editByName(ctx, cmd, "NAME", func(c *catalogue.Catalogue, name string) error {
 		if _, out := c.Out(kind, name); !out {
 			return usagef("%s %q: it is not out of service", kind, name)
 		}
--- a/cmd/parsleyproxy/exit.go
+++ b/cmd/parsleyproxy/exit.go
@@ -12,13 +12,13 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Exit codes.
+// Exit codes; exitCodeHelp says what each one means.
 const (
-	codeOK       = 0
-	codeFailed   = 1
-	codeUsage    = 2
-	codeConflict = 3
-	codeStored   = 4
+	codeOK         = 0
+	codeFailed     = 1
+	codeBadInput   = 2
+	codeConflict   = 3
+	codeNotInForce = 4
 )
 
 const exitCodeHelp = `Exit codes:
@@ -28,20 +28,21 @@
   3  conflict: another change was stored first; nothing was changed
   4  stored, but not in force within --wait; it is not reverted`
 
-// usageError reports wrong usage or bad input.
-type usageError struct{ problem string }
+// usageError reports wrong usage or bad input. Nothing was changed.
+type usageError struct{ message string }
 
-func (e *usageError) Error() string { return e.problem }
+func (e *usageError) Error() string { return e.message }
 
 func usagef(format string, args ...any) error {
 	return &usageError{fmt.Sprintf(format, args...)}
 }
 
-// notInForceError reports a change that is stored and not in force yet.
+// notInForceError reports a change that is stored but was not known to be in force
+// within the time set by --wait.
 type notInForceError struct {
 	progress operator.Progress
 	wait     string
-	err      error // of the last question, if it was not answered
+	err      error // error of the last progress query; nil if it was answered
 }
 
 func (e *notInForceError) Error() string {
@@ -52,28 +53,28 @@
 	return fmt.Sprintf("%s: %d of %d members know it", s, e.progress.Learned, e.progress.Members)
 }
 
-// grantUnknownError reports a key grant that may have been stored. The secret is
-// lost, so the operator needs the hash.
+// grantUnknownError reports a caller key whose hash may have been stored although the
+// key was not printed. The operator needs the hash to withdraw the key.
 type grantUnknownError struct {
 	hash fleet.CallerKeyHash
 	err  error
 }
 
 func (e *grantUnknownError) Error() string {
-	return fmt.Sprintf("%v; withdraw the caller key %s if it is in the catalogue, its secret was not kept", e.err, shortHash(e.hash))
+	return fmt.Sprintf("%v; withdraw the caller key %s if it is in the catalogue: the key itself was not printed and cannot be recovered", e.err, shortHash(e.hash))
 }
 
 func (e *grantUnknownError) Unwrap() error { return e.err }
 
 func exitCode(err error) int {
 	var (
-		conflict   *operator.ConflictError
-		notInForce *notInForceError
-		usage      *usageError
-		invalid    *operator.InvalidError
-		fields     catalogue.Errors
-		flags      settings.Errors
-		library    cli.ExitCoder // unknown help topics
+		conflict        *operator.ConflictError
+		notInForce      *notInForceError
+		usage           *usageError
+		invalid         *operator.InvalidError
+		catalogueErrors catalogue.Errors
+		settingsErrors  settings.Errors
+		cliError        cli.ExitCoder // returned for unknown help topics
 	)
 	switch {
 	case err == nil:
@@ -81,9 +82,9 @@
 	case errors.As(err, &conflict):
 		return codeConflict
 	case errors.As(err, &notInForce):
-		return codeStored
-	case errors.As(err, &usage), errors.As(err, &invalid), errors.As(err, &fields), errors.As(err, &flags), errors.As(err, &library):
-		return codeUsage
+		return codeNotInForce
+	case errors.As(err, &usage), errors.As(err, &invalid), errors.As(err, &catalogueErrors), errors.As(err, &settingsErrors), errors.As(err, &cliError):
+		return codeBadInput
 	default:
 		return codeFailed
 	}
--- a/cmd/parsleyproxy/front.go
+++ b/cmd/parsleyproxy/front.go
@@ -14,13 +14,14 @@
 	"github.com/parsleyproxy/parsleyproxy/platform"
 )
 
-// Bounds of the connections to upstreams and to the store.
+// Limits of the connections to upstreams and to the store.
 const (
 	frontDialTimeout = 300 * time.Millisecond
-	// frontIdleTimeout is below the 10 s after which upstreams close connections.
-	frontIdleTimeout = 8 * time.Second
-	frontMaxAnswer   = 64 << 20
-	frontMaxIdle     = 16
+	// frontIdleTimeout is shorter than the 10 s after which upstreams close idle
+	// connections, so that no request is sent on one that is being closed.
+	frontIdleTimeout     = 8 * time.Second
+	frontMaxResponseBody = 64 << 20 // bytes
+	frontMaxIdleConns    = 16       // per address
 )
 
 func frontCommand() *cli.Command {
@@ -28,7 +29,7 @@
 		Name:  "front",
 		Usage: "run an instance on the users' platform until SIGTERM",
 		Description: "The platform's settings file is named by " + platform.SettingsVariable + ".\n" +
-			"The instance sends requests straight to upstreams.",
+			"The instance connects to upstreams directly.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "`LEVEL` of the log: debug, info, warn or error", Sources: cli.EnvVars("PARSLEY_LOG_LEVEL")},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
@@ -36,7 +37,7 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			path := os.Getenv(platform.SettingsVariable)
 			if path == "" {
-				return usagef("%s names no settings file", platform.SettingsVariable)
+				return usagef("%s is not set: it must name the settings file", platform.SettingsVariable)
 			}
 			cfg, err := platform.ReadSettings(path)
 			if err != nil {
@@ -54,16 +55,17 @@
 	}
 }
 
-// runFront runs an instance until ctx ends and it has shut down.
+// runFront runs an instance on the users' platform. It returns after ctx is cancelled
+// and the instance has shut down.
 func runFront(ctx context.Context, path string, cfg direct.Settings, level hclog.Level) error {
 	metrics := direct.NewMetrics()
 	log := hclog.New(&hclog.LoggerOptions{Level: level, Output: logs.NewWriter(os.Stdout, metrics.LogDropped), JSONFormat: true})
-	toUpstreams := http1.TransportConfig{DialTimeout: frontDialTimeout, IdleTimeout: frontIdleTimeout, MaxBody: frontMaxAnswer, MaxIdle: frontMaxIdle, TurnsAway: true}
-	toStore := toUpstreams
-	toStore.AllSilent, toStore.TurnsAway = true, false
-	out := direct.Platform{
-		Store: platform.NewStore(cfg.Store, http1.NewTransport(toStore), metrics.StoreCall), Holders: platform.Holders{Client: http1.NewTransport(toUpstreams)},
-		Protocol: platform.Protocol{}, Upstream: http1.NewTransport(toUpstreams), Configuration: platform.DecodeConfig, Settings: func() (direct.Settings, error) { return platform.ReadSettings(path) },
+	upstreamTransport := http1.TransportConfig{DialTimeout: frontDialTimeout, IdleTimeout: frontIdleTimeout, MaxBody: frontMaxResponseBody, MaxIdle: frontMaxIdleConns, TurnsAway: true}
+	storeTransport := upstreamTransport
+	storeTransport.AllSilent, storeTransport.TurnsAway = true, false
+	external := direct.Platform{
+		Store: platform.NewStore(cfg.Store, http1.NewTransport(storeTransport), metrics.StoreCall), Holders: platform.Holders{Client: http1.NewTransport(upstreamTransport)},
+		Protocol: platform.Protocol{}, Upstream: http1.NewTransport(upstreamTransport), Configuration: platform.DecodeConfig, Settings: func() (direct.Settings, error) { return platform.ReadSettings(path) },
 	}
-	return direct.New(cfg, out, metrics, log).Run(ctx)
+	return direct.New(cfg, external, metrics, log).Run(ctx)
 }
--- a/cmd/parsleyproxy/main.go
+++ b/cmd/parsleyproxy/main.go
@@ -1,6 +1,6 @@
 // Command parsleyproxy runs one instance of the router and its operator commands.
 //
-// Exit codes are listed with their meaning in exit.go and in docs/OPERATIONS.md.
+// The exit codes and their meanings are listed in exit.go and docs/OPERATIONS.md.
 package main
 
 import (
@@ -21,8 +21,8 @@
 	os.Exit(code)
 }
 
-// run executes one command line and returns the exit code. Results go to stdout,
-// everything else to stderr.
+// run executes one command line and returns the exit code. Results are written to
+// stdout; errors and progress to stderr.
 func run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	err := newRoot(stdin, stdout, stderr).Run(ctx, args)
 	if err != nil {
@@ -35,9 +35,9 @@
 	root := &cli.Command{
 		Name:  "parsleyproxy",
 		Usage: "route HTTP requests to upstreams that own keys exclusively",
-		Description: "Every change reads the catalogue, edits it and stores it if nobody else has\n" +
-			"changed it in the meantime. A lost race is an error that names the revision that won;\n" +
-			"nothing is retried.\n\n" + exitCodeHelp,
+		Description: "Every change reads the catalogue, edits it and stores it, unless the catalogue has\n" +
+			"changed in the meantime. That is a conflict: the error names the current revision, and\n" +
+			"the command does not retry.\n\n" + exitCodeHelp,
 		Reader: stdin, Writer: stdout, ErrWriter: stderr,
 		EnableShellCompletion: true,
 		ConfigureShellCompletionCommand: func(c *cli.Command) {
@@ -57,13 +57,14 @@
 			explainCommand(),
 		},
 	}
-	prepare(root)
+	configureCommand(root)
 	return root
 }
 
-// prepare makes usage errors of every command exit with codeUsage and gives
-// groups an action that says what is missing.
-func prepare(c *cli.Command) {
+// configureCommand sets up c and its subcommands: usage errors become usageErrors,
+// which exit with codeBadInput, and a command that only groups subcommands reports a
+// missing or unknown subcommand.
+func configureCommand(c *cli.Command) {
 	c.HideHelpCommand = true
 	if c.OnUsageError == nil {
 		c.OnUsageError = func(_ context.Context, cmd *cli.Command, err error, _ bool) error {
@@ -79,6 +80,6 @@
 		}
 	}
 	for _, sub := range c.Commands {
-		prepare(sub)
+		configureCommand(sub)
 	}
 }
--- a/cmd/parsleyproxy/serve.go
+++ b/cmd/parsleyproxy/serve.go
@@ -10,7 +10,8 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/settings"
 )
 
-// runServe runs an instance until ctx ends and it has shut down.
+// runServe runs an instance. It returns after ctx is cancelled and the instance has
+// shut down. Tests replace it.
 var runServe = func(ctx context.Context, cfg settings.Serve) error {
 	log := hclog.New(&hclog.LoggerOptions{
 		Name: "parsleyproxy", Level: cfg.LogLevel, Output: os.Stderr, JSONFormat: cfg.LogFormat == settings.LogJSON,
--- a/cmd/parsleyproxy/session.go
+++ b/cmd/parsleyproxy/session.go
@@ -19,12 +19,15 @@
 )
 
 const (
-	// callTimeout is longer than the API's own, so that its explanation arrives.
+	// callTimeout is longer than the timeouts inside the operator API, so that the
+	// command receives the API's error instead of timing out itself.
 	callTimeout = 15 * time.Second
-	// progressInterval is short against the 4 s in which changes come into force.
+	// progressInterval is the interval of progress queries. It is short compared with
+	// the 4 s within which changes come into force.
 	progressInterval = 100 * time.Millisecond
 )
 
+// clientFlags returns the flags of commands that call the operator API.
 func clientFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
@@ -32,12 +35,13 @@
 			Sources: cli.EnvVars("PARSLEY_OPERATOR"),
 		},
 		&cli.StringFlag{
-			Name: "token", Usage: "operator `token`; prefer the environment, since command lines are visible to others",
+			Name: "token", Usage: "operator `token`; prefer the environment variable, because other users can see command lines",
 			Sources: cli.EnvVars("PARSLEY_TOKEN", settings.EnvOperatorToken), HideDefault: true,
 		},
 	}
 }
 
+// changeFlags returns the flags of commands that change the catalogue.
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
@@ -45,45 +49,45 @@
 			Sources: cli.EnvVars("PARSLEY_BY", "USER", "LOGNAME"), HideDefault: true,
 		},
 		&cli.DurationFlag{
-			Name: "wait", Value: 10 * time.Second, Usage: "how long to wait until the change is in force, as a duration",
+			Name: "wait", Value: 10 * time.Second, Usage: "longest time to wait until the change is in force",
 			Sources: cli.EnvVars("PARSLEY_WAIT"),
 		},
 		&cli.BoolFlag{Name: "dry-run", Usage: "print what would change and store nothing"},
 	}
 }
 
-var errNoName = usagef("--by or PARSLEY_BY: want the name to record with the change")
+var errNoAuthor = usagef("--by or PARSLEY_BY: want the name to record with the change")
 
-// session is the connection of one command to the operator API.
+// session is one command's use of the operator API.
 type session struct {
-	cmd    *cli.Command
-	client *operator.Client
-	out    io.Writer // results
-	log    io.Writer // progress
+	cmd      *cli.Command
+	client   *operator.Client
+	results  io.Writer // standard output
+	progress io.Writer // standard error
 }
 
-// eventLoops are shared by the commands of the process and not closed: nbio's Stop
-// never returns if a poller's goroutine has not run yet, which a command that fails
-// at once provokes.
-var eventLoops = sync.OnceValues(http1.NewClient)
+// sharedHTTPClient returns the HTTP client with the event loops that all commands of
+// the process share. It is never closed: nbio's Stop does not return if a poller's
+// goroutine has not started yet, which happens when a command fails immediately.
+var sharedHTTPClient = sync.OnceValues(http1.NewClient)
 
-// withSession runs f with a connection to the API.
+// withSession calls f with a session for the API given by --operator and --token.
 func withSession(cmd *cli.Command, f func(*session) error) error {
 	token := cmd.String("token")
 	if token == "" || strings.ContainsFunc(token, func(r rune) bool { return r <= ' ' || r > '~' }) {
 		return usagef("--token or PARSLEY_TOKEN: want the operator token, printable ASCII characters without spaces")
 	}
-	events, err := eventLoops()
+	eventLoop, err := sharedHTTPClient()
 	if err != nil {
 		return err
 	}
-	client := operator.NewClient(events, cmd.String("operator"), token)
+	client := operator.NewClient(eventLoop, cmd.String("operator"), token)
 	defer client.Close()
-	return f(&session{cmd: cmd, client: client, out: cmd.Root().Writer, log: cmd.Root().ErrWriter})
+	return f(&session{cmd: cmd, client: client, results: cmd.Root().Writer, progress: cmd.Root().ErrWriter})
 }
 
 func (s *session) logf(format string, args ...any) {
-	_, _ = fmt.Fprintf(s.log, format+"\n", args...)
+	_, _ = fmt.Fprintf(s.progress, format+"\n", args...)
 }
 
 func (s *session) catalogue(ctx context.Context) (*catalogue.Catalogue, fleet.Revision, error) {
@@ -92,8 +96,9 @@
 	return s.client.Catalogue(ctx)
 }
 
-// edit reads the catalogue, applies f to it and stores it on the revision read.
-// The result says whether it was stored, also if an error follows.
+// edit reads the catalogue, applies f to a copy and stores the copy with the revision
+// read as base. stored reports whether the store accepted the change; it can be true
+// together with an error if the change did not come into force in time.
 func (s *session) edit(ctx context.Context, f func(*catalogue.Catalogue) error) (stored bool, err error) {
 	old, rev, err := s.catalogue(ctx)
 	if err != nil {
@@ -106,12 +111,12 @@
 	if err := edited.Check(); err != nil {
 		return false, err
 	}
-	return s.change(ctx, rev, old, edited)
+	return s.storeAndWait(ctx, rev, old, edited)
 }
 
-// change stores edited on the revision base and waits until it is in force. old is
-// the present catalogue, for the list of changes.
-func (s *session) change(ctx context.Context, base fleet.Revision, old, edited *catalogue.Catalogue) (stored bool, err error) {
+// storeAndWait stores edited with the revision base and waits until it is in force.
+// old is the current catalogue; the differences from it are printed first.
+func (s *session) storeAndWait(ctx context.Context, base fleet.Revision, old, edited *catalogue.Catalogue) (stored bool, err error) {
 	if err := edited.CheckEdit(old); err != nil {
 		return false, err
 	}
@@ -128,7 +133,7 @@
 		s.logf("dry run on revision %d: nothing was stored", base)
 		return false, nil
 	case by == "":
-		return false, errNoName
+		return false, errNoAuthor
 	}
 	rev, err := s.apply(ctx, base, edited, by)
 	if err != nil {
@@ -143,7 +148,8 @@
 	return s.client.Apply(ctx, base, c, by)
 }
 
-// waitInForce reports when rev was accepted and when it came into force.
+// waitInForce waits for at most the time set by --wait until rev is in force, and
+// prints when it was accepted and when it came into force.
 func (s *session) waitInForce(ctx context.Context, rev fleet.Revision) error {
 	wait := s.cmd.Duration("wait")
 	s.logf("revision %d: accepted by the store", rev)
@@ -151,7 +157,7 @@
 	defer cancel()
 	p, err := operator.WaitInForce(ctx, s.client, rev, progressInterval)
 	if !p.Accepted.IsZero() {
-		s.logf("revision %d: accepted at %s", rev, stamp(p.Accepted))
+		s.logf("revision %d: accepted at %s", rev, formatTime(p.Accepted))
 	}
 	if err != nil || !p.InForce {
 		p.Revision = rev
@@ -161,22 +167,23 @@
 	if !p.Accepted.IsZero() {
 		after = ", " + p.Since.Sub(p.Accepted).Round(time.Millisecond).String() + " later"
 	}
-	s.logf("revision %d: in force at %s%s; %d of %d members know it", rev, stamp(p.Since), after, p.Learned, p.Members)
+	s.logf("revision %d: in force at %s%s; %d of %d members know it", rev, formatTime(p.Since), after, p.Learned, p.Members)
 	return nil
 }
 
-func stamp(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
 	return t.UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// revisionComment starts the first line of an exported catalogue.
+// revisionComment is the prefix of the first line of an exported catalogue; the
+// revision number follows it.
 const revisionComment = "# revision "
 
 func exportCatalogue(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd); err != nil {
+	if err := requireArgs(cmd); err != nil {
 		return err
 	}
 	return withSession(cmd, func(s *session) error {
@@ -184,7 +191,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(s.out, "%s%d\n%s", revisionComment, rev, c.Format())
+		_, err = fmt.Fprintf(s.results, "%s%d\n%s", revisionComment, rev, c.Format())
 		return err
 	})
 }
@@ -199,7 +206,7 @@
 }
 
 func checkFile(_ context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, "FILE"); err != nil {
+	if err := requireArgs(cmd, "FILE"); err != nil {
 		return err
 	}
 	name := cmd.Args().First()
@@ -217,7 +224,7 @@
 	if cmd.Args().Len() < 2 {
 		names = names[1:]
 	}
-	if err := wantArgs(cmd, names...); err != nil {
+	if err := requireArgs(cmd, names...); err != nil {
 		return err
 	}
 	edited, _, err := parseFile(cmd.Args().Get(len(names) - 1))
@@ -237,7 +244,7 @@
 			return err
 		}
 		s.logf("compared with revision %d", rev)
-		return printDiff(s.out, old, edited)
+		return printDiff(s.results, old, edited)
 	})
 }
 
@@ -251,7 +258,7 @@
 }
 
 func applyFile(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, "FILE"); err != nil {
+	if err := requireArgs(cmd, "FILE"); err != nil {
 		return err
 	}
 	edited, data, err := parseFile(cmd.Args().First())
@@ -268,23 +275,25 @@
 		case err != nil:
 			return err
 		case rev == base:
-			_, err = s.change(ctx, base, old, edited)
+			_, err = s.storeAndWait(ctx, base, old, edited)
 			return err
 		case cmd.Bool("dry-run"):
 			return &operator.ConflictError{Base: base, Current: rev}
 		case cmd.String("by") == "":
-			return errNoName
+			return errNoAuthor
 		}
-		// The base is outdated; the store says who won. Without this call the
-		// operator would only learn the revision.
+		// The base is outdated, so the store is expected to refuse the write. Its
+		// conflict error names the author of the current revision, which is not
+		// known here.
 		if _, err = s.apply(ctx, base, edited, cmd.String("by")); err != nil {
 			return err
 		}
-		return fmt.Errorf("revision %d was read, but the edit was stored on revision %d; check the catalogue", rev, base)
+		return fmt.Errorf("the current revision was %d, but the store accepted an edit based on revision %d; check the catalogue", rev, base)
 	})
 }
 
-// baseRevision returns the --base flag or the revision in the file's first line.
+// baseRevision returns the revision given by the --base flag or, if flag is empty, by
+// the first line of the catalogue file.
 func baseRevision(flag string, data []byte) (fleet.Revision, error) {
 	text, source := flag, "--base"
 	if text == "" {
@@ -306,7 +315,8 @@
 	return operator.KeyQuery{Service: fleet.ServiceID(service), Key: fleet.RoutingKey(key)}
 }
 
-func readAll(r io.Reader) ([]byte, error) {
+// readInput reads at most 64 KiB from r, or from standard input if r is nil.
+func readInput(r io.Reader) ([]byte, error) {
 	if r == nil {
 		r = os.Stdin
 	}
--- a/cmd/parsleyproxy/show.go
+++ b/cmd/parsleyproxy/show.go
@@ -23,7 +23,7 @@
 }
 
 func showStatus(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd); err != nil {
+	if err := requireArgs(cmd); err != nil {
 		return err
 	}
 	return withSession(cmd, func(s *session) error {
@@ -32,9 +32,9 @@
 			return err
 		}
 		if cmd.Bool("json") {
-			return printJSON(s.out, st)
+			return printJSON(s.results, st)
 		}
-		return table(s.out, func(w io.Writer) { printStatus(w, st) })
+		return writeTable(s.results, func(w io.Writer) { printStatus(w, st) })
 	})
 }
 
@@ -46,14 +46,15 @@
 	return err
 }
 
-// table aligns the columns that f separates with tabs.
-func table(w io.Writer, f func(io.Writer)) error {
+// writeTable calls writeRows with a writer that aligns tab-separated columns.
+func writeTable(w io.Writer, writeRows func(io.Writer)) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	f(t)
+	writeRows(t)
 	return t.Flush()
 }
 
-func line(w io.Writer, cells ...string) {
+// writeRow writes one row of tab-separated cells, with "-" for empty cells.
+func writeRow(w io.Writer, cells ...string) {
 	for i, c := range cells {
 		if c == "" {
 			cells[i] = "-"
@@ -63,51 +64,51 @@
 }
 
 func printStatus(w io.Writer, st operator.Status) {
-	line(w, "instance", string(st.Instance), "zone "+string(st.Zone))
-	line(w, "authority", authority(st))
-	line(w, "store answered", ago(st.Now, st.StoreAnswered))
-	line(w, "catalogue revision", strconv.FormatUint(uint64(st.Catalogue), 10))
-	line(w, "assignment revision", strconv.FormatUint(uint64(st.Assignment), 10))
-	line(w, "planner", string(st.Planner))
+	writeRow(w, "instance", string(st.Instance), "zone "+string(st.Zone))
+	writeRow(w, "authority", formatAuthority(st))
+	writeRow(w, "store answered", formatAge(st.Now, st.StoreAnswered))
+	writeRow(w, "catalogue revision", strconv.FormatUint(uint64(st.Catalogue), 10))
+	writeRow(w, "assignment revision", strconv.FormatUint(uint64(st.Assignment), 10))
+	writeRow(w, "planner", string(st.Planner))
 	for _, a := range st.Alarms() {
-		line(w, "alarm "+string(a.Name), a.Detail)
+		writeRow(w, "alarm "+string(a.Name), a.Detail)
 	}
-	line(w, "\nMEMBER", "ZONE", "ADDRESS", "LAST HEARD")
+	writeRow(w, "\nMEMBER", "ZONE", "ADDRESS", "LAST HEARD")
 	for _, m := range st.Members {
-		heard := ago(st.Now, m.Heard)
+		heard := formatAge(st.Now, m.Heard)
 		if m.ID == st.Instance {
 			heard = "this instance"
 		}
-		line(w, string(m.ID), string(m.Zone), m.Address, heard)
+		writeRow(w, string(m.ID), string(m.Zone), m.Address, heard)
 	}
-	line(w, "\nUPSTREAM", "SERVICE", "ZONE", "DISPATCHER", "STATE", "LIMIT", "IN FLIGHT", "QUEUED")
+	writeRow(w, "\nUPSTREAM", "SERVICE", "ZONE", "DISPATCHER", "STATE", "LIMIT", "IN FLIGHT", "QUEUED")
 	for _, u := range st.Upstreams {
 		limit, inFlight, queued := "", "", ""
 		if u.Known {
 			limit = fmt.Sprintf("%d of %d", u.Limit, u.Slots)
 			inFlight, queued = strconv.Itoa(int(u.InFlight)), strconv.Itoa(u.Queued)
 		}
-		line(w, string(u.ID), string(u.Service), string(u.Zone), string(u.Dispatcher), u.State, limit, inFlight, queued)
+		writeRow(w, string(u.ID), string(u.Service), string(u.Zone), string(u.Dispatcher), u.State, limit, inFlight, queued)
 	}
 	if len(st.OutOfService) == 0 {
-		line(w, "\nnothing is out of service")
+		writeRow(w, "\nnothing is out of service")
 		return
 	}
-	line(w, "\nOUT OF SERVICE", "NAME", "BY", "SINCE")
+	writeRow(w, "\nOUT OF SERVICE", "NAME", "BY", "SINCE")
 	for _, o := range st.OutOfService {
-		line(w, string(o.Kind), o.Name, o.By, stamp(o.At))
+		writeRow(w, string(o.Kind), o.Name, o.By, formatTime(o.At))
 	}
 }
 
-func authority(st operator.Status) string {
+func formatAuthority(st operator.Status) string {
 	left := st.Authority.Sub(st.Now)
 	if left <= 0 {
 		return "none: the instance refuses requests with no-authority"
 	}
-	return "until " + stamp(st.Authority) + " (" + left.Round(time.Millisecond).String() + ")"
+	return "until " + formatTime(st.Authority) + " (" + left.Round(time.Millisecond).String() + ")"
 }
 
-func ago(now, at time.Time) string {
+func formatAge(now, at time.Time) string {
 	if at.IsZero() {
 		return "never"
 	}
@@ -115,14 +116,14 @@
 }
 
 func explainRequest(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, "ID"); err != nil {
+	if err := requireArgs(cmd, "ID"); err != nil {
 		return err
 	}
 	return showExplanation(ctx, cmd, operator.RequestQuery{ID: fleet.RequestID(cmd.Args().First())})
 }
 
 func explainAccount(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, "ID"); err != nil {
+	if err := requireArgs(cmd, "ID"); err != nil {
 		return err
 	}
 	return showExplanation(ctx, cmd, operator.AccountQuery{ID: fleet.AccountID(cmd.Args().First())})
@@ -137,9 +138,9 @@
 			return err
 		}
 		if cmd.Bool("json") {
-			return printJSON(s.out, x)
+			return printJSON(s.results, x)
 		}
-		return table(s.out, func(w io.Writer) { printExplanation(w, q, x) })
+		return writeTable(s.results, func(w io.Writer) { printExplanation(w, q, x) })
 	})
 }
 
@@ -152,26 +153,26 @@
 		printRefusals(w, x.Refusals)
 	}
 	if len(x.Missing) > 0 {
-		line(w, fmt.Sprintf("\nincomplete: %d instances answered, no answer from %s", len(x.Answered), joinIDs(x.Missing)))
+		writeRow(w, fmt.Sprintf("\nincomplete: %d instances answered, no answer from %s", len(x.Answered), joinIDs(x.Missing)))
 	}
 }
 
 func printOwner(w io.Writer, o *operator.Ownership) {
 	if o == nil {
-		line(w, "the key has no owner; requests for it are refused with no-owner")
+		writeRow(w, "the key has no owner; requests for it are refused with no-owner")
 		return
 	}
-	since := stamp(o.Since)
+	since := formatTime(o.Since)
 	if o.Since.IsZero() {
 		since = "before the instance started"
 	}
-	line(w, "unit", o.Unit.String())
-	line(w, "owner", string(o.Owner))
-	line(w, "since", since)
-	line(w, "fence", o.Fence.String())
-	line(w, "dispatcher", string(o.Dispatcher))
+	writeRow(w, "unit", o.Unit.String())
+	writeRow(w, "owner", string(o.Owner))
+	writeRow(w, "since", since)
+	writeRow(w, "fence", o.Fence.String())
+	writeRow(w, "dispatcher", string(o.Dispatcher))
 	if len(o.Previous) > 0 {
-		line(w, "not yet released by", joinIDs(o.Previous))
+		writeRow(w, "not yet released by", joinIDs(o.Previous))
 	}
 }
 
@@ -179,20 +180,20 @@
 	if len(moves) == 0 {
 		return
 	}
-	line(w, "\nMOVED AT", "FROM", "TO", "FENCE", "CAUSE", "DETAIL")
+	writeRow(w, "\nMOVED AT", "FROM", "TO", "FENCE", "CAUSE", "DETAIL")
 	for _, m := range moves {
-		line(w, stamp(m.At), string(m.From), string(m.To), m.Fence.String(), m.Cause, m.Detail)
+		writeRow(w, formatTime(m.At), string(m.From), string(m.To), m.Fence.String(), m.Cause, m.Detail)
 	}
 }
 
 func printRefusals(w io.Writer, refusals []operator.Refused) {
 	if len(refusals) == 0 {
-		line(w, "no refusal is on record")
+		writeRow(w, "no refusal is on record")
 		return
 	}
-	line(w, "REFUSED AT", "INSTANCE", "REQUEST", "ACCOUNT", "ENTRY", "KEY", "OUTCOME", "REASON", "DETAIL")
+	writeRow(w, "REFUSED AT", "INSTANCE", "REQUEST", "ACCOUNT", "ENTRY", "KEY", "OUTCOME", "REASON", "DETAIL")
 	for _, r := range refusals {
-		line(w, stamp(r.At), string(r.Instance), string(r.Request), string(r.Account), string(r.Entry), string(r.Key),
+		writeRow(w, formatTime(r.At), string(r.Instance), string(r.Request), string(r.Account), string(r.Entry), string(r.Key),
 			string(r.Reason.Outcome()), string(r.Reason), r.Detail)
 	}
 }
