--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Benchmarks of the paths that have none in their own packages.
+// Benchmarks of code paths whose own packages have no benchmark for them.
 
 func BenchmarkDecide(b *testing.B) {
 	x := route.NewIndex(callerKeys(1000))
@@ -35,7 +35,7 @@
 }
 
 func BenchmarkPoll(b *testing.B) {
-	p, err := startPeers(1, &answering{answer: pollAnswer(12)})
+	p, err := startPeerGroup(1, &fakeMember{fixedAnswer: pollAnswer(12)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -8,7 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against a page whose tables do not follow from the committed results.
+// Guards against a committed page whose tables differ from those computed from the
+// committed results.
 func TestPageMatchesResults(t *testing.T) {
 	data, err := os.ReadFile("../../docs/capacity.json")
 	if err != nil {
@@ -27,16 +28,17 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), string(page)); diff != "" {
-		t.Errorf("run \"capacity page\":\n%s", diff)
+		t.Errorf("the page differs from the results; run \"capacity page\":\n%s", diff)
 	}
 	if diff := cmp.Diff(string(data), string(run.Encode())); diff != "" {
-		t.Errorf("results do not survive Decode and Encode:\n%s", diff)
+		t.Errorf("the results change when decoded and encoded again:\n%s", diff)
 	}
 }
 
-// Guards against wrong arithmetic, on a fleet small enough to compute by hand.
+// Guards against wrong arithmetic. The expected values were computed by hand for a
+// small fleet.
 func TestArithmetic(t *testing.T) {
-	line := func(id string, slope, intercept float64) Series {
+	linearSeries := func(id string, slope, intercept float64) Series {
 		var points []Point
 		for _, x := range []float64{2, 10, 40} {
 			points = append(points, Point{X: x, Y: intercept + slope*x})
@@ -45,7 +47,7 @@
 	}
 	m := model{series: map[string]Series{}}
 	for _, s := range []Series{
-		line("poll-bytes", 10, 44), line("poll-cpu", 0, 1e6), line("assignment-bytes", 2, 100), line("members-bytes", 50, 7),
+		linearSeries("poll-bytes", 10, 44), linearSeries("poll-cpu", 0, 1e6), linearSeries("assignment-bytes", 2, 100), linearSeries("members-bytes", 50, 7),
 	} {
 		m.series[s.ID] = s
 	}
@@ -55,10 +57,10 @@
 		"poll processor time of 4 members":    {m.pollCPU(4), 3 / 0.2 * 1e6},
 		"record of 4 members and 30 units":    {m.recordBytes(4, 30), 100 + 60 + 200},
 		"largest cell under 7,200 B/s":        {float64(largestCell(m.pollBytes, 7200)), 4},
-		"upper bound below the smallest size": {m.at("poll-bytes", 1), 64},
-		"fit above the largest size":          {m.at("poll-bytes", 100), 1044},
-		"factor beyond 40 at 100":             {m.factor("poll-bytes", 100), 2.5},
-		"requests served in a split of 3 + 1": {Split{Sizes: []int{3, 1}}.Share(), 0.625},
+		"upper bound below the smallest size": {m.valueAt("poll-bytes", 1), 64},
+		"fit above the largest size":          {m.valueAt("poll-bytes", 100), 1044},
+		"factor beyond 40 at 100":             {m.extrapolationFactor("poll-bytes", 100), 2.5},
+		"requests served in a split of 3 + 1": {Partition{AuthorityGroups: []int{3, 1}}.ServedShare(), 0.625},
 		"fit of a straight line":              {m.series["poll-bytes"].Fit.R2, 1},
 	} {
 		if math.Abs(c.got-c.want) > 1e-6*c.want {
--- a/internal/capacity/codec.go
+++ b/internal/capacity/codec.go
@@ -5,26 +5,26 @@
 	"github.com/go-faster/jx"
 )
 
-// Run is a set of measurements and where they were made.
+// Run is a set of measurements, with the machine and the time at which they were made.
 type Run struct {
-	Date   string
-	Cores  int    // of the machine
-	Used   int    // GOMAXPROCS
-	Go     string // version
-	Load   string // load averages at the start, with what else ran
-	Series []Series
+	Date        string
+	Cores       int    // logical processors of the machine
+	GoMaxProcs  int    // value of GOMAXPROCS
+	GoVersion   string // Go version
+	MachineLoad string // load averages at the start, and what else ran on the machine
+	Series      []Series
 }
 
-// Encode returns the JSON form.
+// Encode returns the run in JSON. Decode reads it.
 func (r Run) Encode() []byte {
 	var e jx.Encoder
 	e.SetIdent(1)
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("date", func(e *jx.Encoder) { e.Str(r.Date) })
 		e.Field("cores", func(e *jx.Encoder) { e.Int(r.Cores) })
-		e.Field("used", func(e *jx.Encoder) { e.Int(r.Used) })
-		e.Field("go", func(e *jx.Encoder) { e.Str(r.Go) })
-		e.Field("load", func(e *jx.Encoder) { e.Str(r.Load) })
+		e.Field("used", func(e *jx.Encoder) { e.Int(r.GoMaxProcs) })
+		e.Field("go", func(e *jx.Encoder) { e.Str(r.GoVersion) })
+		e.Field("load", func(e *jx.Encoder) { e.Str(r.MachineLoad) })
 		e.Field("series", func(e *jx.Encoder) {
 			e.Arr(func(e *jx.Encoder) {
 				for _, s := range r.Series {
@@ -39,8 +39,8 @@
 func (s Series) encode(e *jx.Encoder) {
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("id", func(e *jx.Encoder) { e.Str(s.ID) })
-		e.Field("what", func(e *jx.Encoder) { e.Str(s.What) })
-		e.Field("x", func(e *jx.Encoder) { e.Str(s.X) })
+		e.Field("what", func(e *jx.Encoder) { e.Str(s.Quantity) })
+		e.Field("x", func(e *jx.Encoder) { e.Str(s.SizeLabel) })
 		e.Field("unit", func(e *jx.Encoder) { e.Str(s.Unit) })
 		e.Field("points", func(e *jx.Encoder) {
 			e.Arr(func(e *jx.Encoder) {
@@ -58,7 +58,8 @@
 	})
 }
 
-// Decode reads the JSON form. The fits are computed again from the points.
+// Decode reads a run in the JSON form of Encode. It ignores the encoded fits and
+// computes them from the points.
 func Decode(data []byte) (Run, error) {
 	var r Run
 	err := jx.DecodeBytes(data).Obj(func(d *jx.Decoder, field string) (err error) {
@@ -68,11 +69,11 @@
 		case "cores":
 			r.Cores, err = d.Int()
 		case "used":
-			r.Used, err = d.Int()
+			r.GoMaxProcs, err = d.Int()
 		case "go":
-			r.Go, err = d.Str()
+			r.GoVersion, err = d.Str()
 		case "load":
-			r.Load, err = d.Str()
+			r.MachineLoad, err = d.Str()
 		case "series":
 			err = d.Arr(func(d *jx.Decoder) error {
 				s, err := decodeSeries(d)
@@ -93,9 +94,9 @@
 		case "id":
 			s.ID, err = d.Str()
 		case "what":
-			s.What, err = d.Str()
+			s.Quantity, err = d.Str()
 		case "x":
-			s.X, err = d.Str()
+			s.SizeLabel, err = d.Str()
 		case "unit":
 			s.Unit, err = d.Str()
 		case "points":
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -6,28 +6,29 @@
 	"github.com/go-faster/errors"
 )
 
-// Line is one figure of one role at the design scale.
-type Line struct {
-	Role    string
-	Kind    string // state, messages, processor or memory
-	Figure  string
-	Value   float64
-	Bound   float64
-	Unit    string
-	By      string  // the mechanism that carries it
-	Instead string  // what would carry it
-	Source  string  // id of the series
-	At      float64 // size at which the series is evaluated
+// Estimate is the predicted cost of one quantity for one role at the design scale.
+type Estimate struct {
+	Role        string
+	Kind        string // state, messages, processor or memory
+	Quantity    string
+	Value       float64
+	Bound       float64
+	Unit        string
+	Mechanism   string  // mechanism of the design that keeps the value within the bound
+	Alternative string  // proposed change if the value exceeds the bound
+	SeriesID    string  // series that the value is computed from; empty if it is computed without one
+	Size        float64 // size at which the series is evaluated
 }
 
-// Carried reports whether today's design stays within the bound.
-func (l Line) Carried() bool { return l.Value <= l.Bound }
+// WithinBound reports whether the implemented design stays within the bound.
+func (l Estimate) WithinBound() bool { return l.Value <= l.Bound }
 
-// model evaluates fits at sizes that were not measured.
+// model computes estimates from measured series, also for sizes that were not
+// measured. Processor costs are in nanoseconds of processor time.
 type model struct{ series map[string]Series }
 
-// ids are the series that a model needs.
-var ids = []string{
+// requiredSeries lists the ids of the series that a model needs.
+var requiredSeries = []string{
 	"assignment-bytes", "assignment-heap", "assignment-encode", "assignment-decode", "plan-unchanged", "plan-lost", "owner",
 	"members-bytes", "home-choice", "catalogue-parse", "catalogue-bytes", "index-heap", "index-build", "route",
 	"home-heap", "home-take", "token-calls-accounts", "token-calls-rate", "holder-tick", "admit", "dispatch-heap", "control-calls",
@@ -40,7 +41,7 @@
 	for _, s := range series {
 		m.series[s.ID] = s
 	}
-	for _, id := range ids {
+	for _, id := range requiredSeries {
 		if len(m.series[id].Points) < 3 {
 			return m, errors.Errorf("series %s has %d points, want 3 or more", id, len(m.series[id].Points))
 		}
@@ -48,76 +49,82 @@
 	return m, nil
 }
 
-func (m model) at(id string, x float64) float64 { return m.series[id].At(x) }
+func (m model) valueAt(id string, x float64) float64 { return m.series[id].At(x) }
 
 func (m model) slope(id string) float64 { return m.series[id].Fit.Slope }
 
-// factor is how far x lies beyond the largest measured size; at most 1 means
-// within the measured range.
-func (m model) factor(id string, x float64) float64 { return x / m.series[id].Largest() }
+// extrapolationFactor returns x divided by the largest measured size of the series. A
+// factor of at most 1 means that x is within the measured range.
+func (m model) extrapolationFactor(id string, x float64) float64 { return x / m.series[id].Largest() }
 
-// pollBytes is the traffic of a member that polls n−1 others and is polled by
-// them every pollEvery.
+// pollBytes returns the traffic in B/s of a member that polls n−1 others and is polled
+// by them, once per pollInterval each.
 func (m model) pollBytes(n float64) float64 {
-	return 2 * (n - 1) / pollEvery.Seconds() * (m.at("poll-bytes", n) + segmentBytes)
+	return 2 * (n - 1) / pollInterval.Seconds() * (m.valueAt("poll-bytes", n) + callHeaderBytes)
 }
 
-// pollCPU counts an asking and an answering end per other member.
+// pollCPU returns the processor time in ns/s that a member among n spends on polls.
+// For each other member it sends one poll and answers one poll per pollInterval.
 func (m model) pollCPU(n float64) float64 {
-	return (n - 1) / pollEvery.Seconds() * m.at("poll-cpu", n)
+	return (n - 1) / pollInterval.Seconds() * m.valueAt("poll-cpu", n)
 }
 
-// recordBytes is the size of an assignment with n members.
+// recordBytes returns the size in bytes of an assignment record with n members.
 func (m model) recordBytes(n, units float64) float64 {
-	return m.at("assignment-bytes", units) + m.slope("members-bytes")*n
+	return m.valueAt("assignment-bytes", units) + m.slope("members-bytes")*n
 }
 
-// homeChecks returns how often per second an instance chooses the homes of all
-// limits again: every 100 ms for the 1.5 s after a change of the members, if it sees
-// the given share of the changes.
-func homeChecks(share float64) float64 {
-	const checksPerChange = 15
-	return share * checksPerChange * (restartsPerDay + failuresPerDay) / day
+// homeSelectionRate returns how often per second an instance chooses the homes of all
+// limits: every 100 ms for 1.5 s after each change of the member list. share is the
+// share of the member changes, from 0 to 1, that the instance sees.
+func homeSelectionRate(share float64) float64 {
+	const selectionsPerChange = 15
+	return share * selectionsPerChange * (restartsPerDay + failuresPerDay) / secondsPerDay
 }
 
-// memory is what an instance holds of the whole fleet and of its own upstreams.
-func (m model) memory() float64 {
-	return m.at("assignment-heap", units) + m.recordBytes(nodes, units) + m.at("poll-heap", nodes) +
-		m.at("metrics-heap", 200) + m.at("dispatch-heap", upstreamsPerNode)
+// memoryPerNode returns the bytes that an instance keeps for the whole fleet and for
+// its own upstreams.
+func (m model) memoryPerNode() float64 {
+	return m.valueAt("assignment-heap", units) + m.recordBytes(nodes, units) + m.valueAt("poll-heap", nodes) +
+		m.valueAt("metrics-heap", 200) + m.valueAt("dispatch-heap", upstreamsPerNode)
 }
 
-// processor is what a node spends on records, decisions, ticks and renewals.
-func (m model) processor() float64 {
-	return assignmentRate*m.at("assignment-decode", units) + changeRate*m.at("catalogue-parse", 4000) +
-		requestsNode*(m.decision()+m.at("dispatch-request", upstreamsPerNode)) +
-		100*(m.at("dispatch-tick", upstreamsPerNode)+m.at("holder-tick", requestsNode)) +
-		m.at("control-calls", upstreamsPerNode)*m.slope("renew-cpu")
+// cpuPerNode returns the processor time in ns/s that a node spends on records,
+// decisions, ticks and renewals.
+func (m model) cpuPerNode() float64 {
+	return assignmentWriteRate*m.valueAt("assignment-decode", units) + catalogueWriteRate*m.valueAt("catalogue-parse", 4000) +
+		requestsPerNode*(m.decisionCPU()+m.valueAt("dispatch-request", upstreamsPerNode)) +
+		100*(m.valueAt("dispatch-tick", upstreamsPerNode)+m.valueAt("holder-tick", requestsPerNode)) +
+		m.valueAt("control-calls", upstreamsPerNode)*m.slope("renew-cpu")
 }
 
-// decision is what the receiving instance decides per request.
-func (m model) decision() float64 { return m.at("route", 0) + m.at("admit", 0) + m.at("owner", 0) }
+// decisionCPU returns the processor time in ns that the receiving instance needs to
+// route, authenticate and admit a request and to find the owner of its key.
+func (m model) decisionCPU() float64 {
+	return m.valueAt("route", 0) + m.valueAt("admit", 0) + m.valueAt("owner", 0)
+}
 
-func (m model) lines() []Line {
-	return slices.Concat(m.receiver(), m.dispatcher(), m.home(), m.planner(), m.store(), m.upstream())
+func (m model) estimates() []Estimate {
+	return slices.Concat(m.receiverEstimates(), m.dispatcherEstimates(), m.homeEstimates(), m.plannerEstimates(), m.storeEstimates(), m.upstreamEstimates())
 }
 
-func (m model) receiver() []Line {
+func (m model) receiverEstimates() []Estimate {
 	const role = "receiving instance"
-	return []Line{
+	return []Estimate{
 		{
-			role, "memory", "decoded assignment of 379,870 units", m.at("assignment-heap", units), memoryBound, "B",
+			role, "memory", "decoded assignment of 379,870 units", m.valueAt("assignment-heap", units), memoryBound, "B",
 			"units are shards: the table does not grow with the keys", "cells: each instance keeps its cell's units", "assignment-heap", units,
 		},
 		{
-			role, "memory", "catalogue index, if the keys in use are caller keys", m.at("index-heap", keys), memoryBound, "B",
-			"", "caller keys in hashed buckets, kept by the nodes and loaded on demand (see the two readings)", "index-heap", keys,
+			role, "memory", "catalogue index, if the keys in use are caller keys", m.valueAt("index-heap", keysInUse), memoryBound, "B",
+			"", "caller keys in hashed buckets, kept by the nodes and loaded on demand (see the two readings)", "index-heap", keysInUse,
 		},
 		{
-			role, "memory", "connections to all members, both ends", m.at("poll-heap", nodes), memoryBound, "B",
+			role, "memory", "connections to all members, both ends", m.valueAt("poll-heap", nodes), memoryBound, "B",
 			"one connection per direction and peer", "cells: connections within the cell, and to one instance of each other cell in use", "poll-heap", nodes,
 		},
 		{
-			role, "memory", "sum of the memory lines without caller keys, with the stored record", m.memory(), memoryBound, "B",
+			role, "memory", "sum of the memory lines without caller keys, with the stored record", m.memoryPerNode(), memoryBound, "B",
 			"the lines above and below", "cells", "poll-heap", nodes,
 		},
 		{
@@ -130,50 +137,50 @@
 		},
 		{
 			role, "messages", "assignment records after 1,520 restarts and failures a day, 4 writes each",
-			assignmentRate * m.recordBytes(nodes, units) * base64, bytesBound, "B/s",
+			assignmentWriteRate * m.recordBytes(nodes, units) * base64Factor, bytesBound, "B/s",
 			"", "cells: a change is sent to the members of its cell only", "assignment-bytes", units,
 		},
 		{
-			role, "processor", "decoding of these records", assignmentRate * m.at("assignment-decode", units), cpuBound, "core",
+			role, "processor", "decoding of these records", assignmentWriteRate * m.valueAt("assignment-decode", units), cpuBound, "core",
 			"one decoding per write; a plan covers all changes of 50 ms", "cells", "assignment-decode", units,
 		},
 		{
-			role, "messages", "catalogue of the largest allowed size (700 kB) after 16,000 changes a day", changeRate * 700e3 * base64, bytesBound, "B/s",
+			role, "messages", "catalogue of the largest allowed size (700 kB) after 16,000 changes a day", catalogueWriteRate * 700e3 * base64Factor, bytesBound, "B/s",
 			"", "the catalogue in parts per service, and changes sent as differences", "catalogue-bytes", 4000,
 		},
 		{
-			role, "processor", "parsing of it (4,000 caller keys)", changeRate * m.at("catalogue-parse", 4000), cpuBound, "core",
+			role, "processor", "parsing of it (4,000 caller keys)", catalogueWriteRate * m.valueAt("catalogue-parse", 4000), cpuBound, "core",
 			"one parse per change", "the catalogue in parts per service", "catalogue-parse", 4000,
 		},
 		{
-			role, "processor", "decisions for 2,182 requests/s: route, authenticate, limit, owner", requestsNode * m.decision(), cpuBound, "core",
+			role, "processor", "decisions for 2,182 requests/s: route, authenticate, limit, owner", requestsPerNode * m.decisionCPU(), cpuBound, "core",
 			"maps: the cost does not grow with keys or units", "fewer allocations in route.Decide; it is most of this line", "route", 1000,
 		},
 		{
-			role, "processor", "sum of the lines of a node that are carried one by one", m.processor(), cpuBound, "core",
+			role, "processor", "sum of the lines of a node that are carried one by one", m.cpuPerNode(), cpuBound, "core",
 			"the lines above and below", "cells (no decoding for others), a queue of due times in the holder; decisions not counted as control", "", 0,
 		},
 		{
-			role, "memory", "metrics with 200 account labels", m.at("metrics-heap", 200), memoryBound, "B",
+			role, "memory", "metrics with 200 account labels", m.valueAt("metrics-heap", 200), memoryBound, "B",
 			"a fixed number of account labels", "fewer labels", "metrics-heap", 200,
 		},
 		{
-			role, "messages", "scrape of them every 15 s, not compressed", m.at("metrics-scrape", 200) / scrapeEvery, bytesBound, "B/s",
+			role, "messages", "scrape of them every 15 s, not compressed", m.valueAt("metrics-scrape", 200) / scrapeInterval, bytesBound, "B/s",
 			"a fixed number of account labels", "20 account labels, the busiest ones", "metrics-scrape", 200,
 		},
 	}
 }
 
-func (m model) dispatcher() []Line {
+func (m model) dispatcherEstimates() []Estimate {
 	const role = "dispatcher"
-	calls := m.at("control-calls", upstreamsPerNode)
-	return []Line{
+	calls := m.valueAt("control-calls", upstreamsPerNode)
+	return []Estimate{
 		{
-			role, "memory", "3 upstreams with 23 units each", m.at("dispatch-heap", upstreamsPerNode), memoryBound, "B",
+			role, "memory", "3 upstreams with 23 units each", m.valueAt("dispatch-heap", upstreamsPerNode), memoryBound, "B",
 			"a dispatcher keeps its own upstreams only", "more nodes", "dispatch-heap", upstreamsPerNode,
 		},
 		{
-			role, "messages", "renewals to 3 upstreams", calls * (m.slope("renew-bytes") + segmentBytes), bytesBound, "B/s",
+			role, "messages", "renewals to 3 upstreams", calls * (m.slope("renew-bytes") + callHeaderBytes), bytesBound, "B/s",
 			"one renewal per upstream and 200 ms, whatever the number of units", "renewals in a compact form, or every 300 ms", "renew-bytes", 1000,
 		},
 		{
@@ -181,52 +188,53 @@
 			"one renewal per upstream and 200 ms", "a plain TCP exchange in place of HTTP", "renew-cpu", 1000,
 		},
 		{
-			role, "processor", "100 ticks/s", 100 * m.at("dispatch-tick", upstreamsPerNode), cpuBound, "core",
+			role, "processor", "100 ticks/s", 100 * m.valueAt("dispatch-tick", upstreamsPerNode), cpuBound, "core",
 			"a tick visits the dispatcher's own upstreams only", "a tick per due time", "dispatch-tick", upstreamsPerNode,
 		},
 		{
-			role, "processor", "decisions for 2,182 requests/s", requestsNode * m.at("dispatch-request", upstreamsPerNode), cpuBound, "core",
+			role, "processor", "decisions for 2,182 requests/s", requestsPerNode * m.valueAt("dispatch-request", upstreamsPerNode), cpuBound, "core",
 			"queues and slots per upstream", "more nodes", "dispatch-request", upstreamsPerNode,
 		},
 	}
 }
 
-func (m model) home() []Line {
+func (m model) homeEstimates() []Estimate {
 	const role = "home of limits"
 	perNode := float64(accounts) / nodes
-	// 120 requests/s of an account over 5,500 instances: a lease ends before its
-	// holder sees a second request, so that each request needs a call.
-	return []Line{
+	// An account with 120 requests/s sends each of the 5,500 instances about 0.02
+	// requests/s. A token lease ends before its holder receives a second request of
+	// the account, so that each request needs a token call.
+	return []Estimate{
 		{
 			role, "memory", "buckets of 18 of 100,000 accounts", m.slope("home-heap") * perNode, memoryBound, "B",
 			"rendezvous hashing spreads the accounts", "more nodes", "home-heap", perNode,
 		},
 		{
 			role, "messages", "token calls: one per request, since an instance gets 0.02 requests/s of an account",
-			requestsNode * 2 * (m.slope("token-bytes") + segmentBytes), bytesBound, "B/s",
+			requestsPerNode * 2 * (m.slope("token-bytes") + callHeaderBytes), bytesBound, "B/s",
 			"", "requests forwarded through their account's home, which admits them without a call; per-region limits keep that hop in the region", "token-bytes", 1000,
 		},
 		{
-			role, "processor", "token calls, both ends", requestsNode * m.slope("token-cpu"), cpuBound, "core",
+			role, "processor", "token calls, both ends", requestsPerNode * m.slope("token-cpu"), cpuBound, "core",
 			"", "the same", "token-cpu", 1000,
 		},
 		{
-			role, "processor", "choice of the home for every limit on every instance, 15 times per change of the members", homeChecks(1) * accounts * m.at("home-choice", nodes), cpuBound, "core",
+			role, "processor", "choice of the home for every limit on every instance, 15 times per change of the members", homeSelectionRate(1) * accounts * m.valueAt("home-choice", nodes), cpuBound, "core",
 			"", "choose among the members of a cell", "home-choice", nodes,
 		},
 		{
-			role, "processor", "100 ticks/s of a holder with 2,182 limits in use", 100 * m.at("holder-tick", requestsNode), cpuBound, "core",
-			"a tick visits the limits in use only", "a queue of due times; or requests of an account sent to few instances", "holder-tick", requestsNode,
+			role, "processor", "100 ticks/s of a holder with 2,182 limits in use", 100 * m.valueAt("holder-tick", requestsPerNode), cpuBound, "core",
+			"a tick visits the limits in use only", "a queue of due times; or requests of an account sent to few instances", "holder-tick", requestsPerNode,
 		},
 	}
 }
 
-func (m model) planner() []Line {
+func (m model) plannerEstimates() []Estimate {
 	const role = "planner"
-	plan := m.at("plan-lost", units) + m.at("assignment-encode", units) + m.at("assignment-decode", units)
-	return []Line{
+	plan := m.valueAt("plan-lost", units) + m.valueAt("assignment-encode", units) + m.valueAt("assignment-decode", units)
+	return []Estimate{
 		{
-			role, "state", "assignment record", m.recordBytes(nodes, units), valueBound, "B",
+			role, "state", "assignment record", m.recordBytes(nodes, units), storeValueBound, "B",
 			"", "cells: a record per cell", "assignment-bytes", units,
 		},
 		{
@@ -234,37 +242,37 @@
 			"one pass over the units", "cells", "plan-lost", units,
 		},
 		{
-			role, "processor", "20 plans/s that change nothing", 20 * m.at("plan-unchanged", units), cpuBound, "core",
+			role, "processor", "20 plans/s that change nothing", 20 * m.valueAt("plan-unchanged", units), cpuBound, "core",
 			"one pass over the units", "a plan only after a report, a list or a member changed; cells", "plan-unchanged", units,
 		},
 		{
-			role, "memory", "input and result of a plan, with the record", 2*m.at("assignment-heap", units) + m.recordBytes(nodes, units), memoryBound, "B",
+			role, "memory", "input and result of a plan, with the record", 2*m.valueAt("assignment-heap", units) + m.recordBytes(nodes, units), memoryBound, "B",
 			"the units are copied only if one moves", "cells", "assignment-heap", units,
 		},
 		{
-			role, "messages", "time to pin 370 hot keys that are spread over 4 or more services", hotKeys / 4.0 / 4 * 10, hotWithin, "s",
+			role, "messages", "time to pin 370 hot keys that are spread over 4 or more services", hotKeyCount / 4.0 / 4 * 10, hotKeyPinBound, "s",
 			"4 pins per 10 s and service; reports of the 8 hottest keys", "", "", 0,
 		},
 		{
-			role, "messages", "time to pin 370 hot keys of one service", hotKeys / 4.0 * 10, hotWithin, "s",
+			role, "messages", "time to pin 370 hot keys of one service", hotKeyCount / 4.0 * 10, hotKeyPinBound, "s",
 			"", "a pace of pins per cell instead of per service", "", 0,
 		},
 	}
 }
 
-func (m model) store() []Line {
+func (m model) storeEstimates() []Estimate {
 	const role = "store"
-	return []Line{
+	return []Estimate{
 		{
-			role, "messages", "reads of changes by 5,500 instances", m.at("store-reads", nodes), readsBound, "1/s",
+			role, "messages", "reads of changes by 5,500 instances", m.valueAt("store-reads", nodes), readsBound, "1/s",
 			"", "one reader per cell that feeds the others through polls", "store-reads", nodes,
 		},
 		{
-			role, "messages", "reads of the instance list (no bound is stated; that of reads is taken)", m.at("store-lists", nodes), readsBound, "1/s",
+			role, "messages", "reads of the instance list (no bound is stated; that of reads is taken)", m.valueAt("store-lists", nodes), readsBound, "1/s",
 			"", "the reader of the cell", "store-lists", nodes,
 		},
 		{
-			role, "messages", "writes on average: 16,000 changes, 1,520 restarts and failures a day", changeRate + assignmentRate, writesBound, "1/s",
+			role, "messages", "writes on average: 16,000 changes, 1,520 restarts and failures a day", catalogueWriteRate + assignmentWriteRate, writesBound, "1/s",
 			"two records, one write per edit or plan", "", "", 0,
 		},
 		{
@@ -272,21 +280,21 @@
 			"one plan for all losses; members, dispatchers and finished handovers", "", "", 0,
 		},
 		{
-			role, "state", "catalogue record, if the keys in use are caller keys", m.at("catalogue-bytes", keys), valueBound, "B",
-			"", "hashed buckets of caller keys, one value each", "catalogue-bytes", keys,
+			role, "state", "catalogue record, if the keys in use are caller keys", m.valueAt("catalogue-bytes", keysInUse), storeValueBound, "B",
+			"", "hashed buckets of caller keys, one value each", "catalogue-bytes", keysInUse,
 		},
 	}
 }
 
-func (m model) upstream() []Line {
+func (m model) upstreamEstimates() []Estimate {
 	const role = "upstream's view"
-	return []Line{
+	return []Estimate{
 		{
-			role, "messages", "control calls", m.at("control-calls", upstreamsPerNode) / upstreamsPerNode, 10, "1/s",
+			role, "messages", "control calls", m.valueAt("control-calls", upstreamsPerNode) / upstreamsPerNode, 10, "1/s",
 			"a single dispatcher, whatever the number of instances (bound: two per renewal interval)", "", "control-calls", upstreamsPerNode,
 		},
 		{
-			role, "messages", "traffic of them", 5 * (m.slope("renew-bytes") + segmentBytes), bytesBound, "B/s",
+			role, "messages", "traffic of them", 5 * (m.slope("renew-bytes") + callHeaderBytes), bytesBound, "B/s",
 			"the same", "", "renew-bytes", 1000,
 		},
 		{
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -10,8 +10,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Render replaces the tables of the page. A table stands between the comments
-// <!-- table NAME --> and <!-- end -->.
+// Render returns text, a Markdown page, with its tables replaced by those computed from
+// run. Each table is between the comments <!-- table NAME --> and <!-- end -->.
 func Render(text []byte, run Run) ([]byte, error) {
 	m, err := newModel(run.Series)
 	if err != nil {
@@ -22,37 +22,38 @@
 		body string
 	}{
 		{"run", runTable(run)},
-		{"verdict", verdictTable(m.lines())},
+		{"verdict", verdictTable(m.estimates())},
 		{"series", seriesTable(run.Series)},
-		{"lines", linesTable(m, m.lines())},
+		{"lines", estimatesTable(m, m.estimates())},
 		{"keys", keysTable(m)},
 		{"polls", pollsTable(m)},
 		{"cells", cellsTable(m)},
-		{"splits", splitsTable()},
+		{"splits", partitionsTable()},
 	} {
-		if text, err = replace(text, t.name, t.body); err != nil {
+		if text, err = replaceTable(text, t.name, t.body); err != nil {
 			return nil, err
 		}
 	}
 	return text, nil
 }
 
-func replace(text []byte, name, body string) ([]byte, error) {
+// replaceTable returns text with the named table replaced by body.
+func replaceTable(text []byte, name, body string) ([]byte, error) {
 	const end = "<!-- end -->"
 	mark := []byte("<!-- table " + name + " -->\n")
 	before, rest, ok := bytes.Cut(text, mark)
 	if !ok {
-		return nil, errors.Errorf("table %s is missing", name)
+		return nil, errors.Errorf("the page has no table %s", name)
 	}
 	i := bytes.Index(rest, []byte(end))
 	if i < 0 {
-		return nil, errors.Errorf("table %s has no end", name)
+		return nil, errors.Errorf("table %s has no end comment", name)
 	}
 	return bytes.Join([][]byte{before, mark, []byte(body), rest[i:]}, nil), nil
 }
 
-// table writes rows of cells; the first row is the head.
-func table(rows ...[]string) string {
+// markdownTable formats rows of cells as a Markdown table. The first row is the header.
+func markdownTable(rows ...[]string) string {
 	var b strings.Builder
 	for i, row := range rows {
 		b.WriteString("| " + strings.Join(row, " | ") + " |\n")
@@ -64,25 +65,26 @@
 }
 
 func runTable(r Run) string {
-	return table(
+	return markdownTable(
 		[]string{"date", "cores", "cores used", "Go", "other load"},
-		[]string{r.Date, strconv.Itoa(r.Cores), strconv.Itoa(r.Used), r.Go, r.Load},
+		[]string{r.Date, strconv.Itoa(r.Cores), strconv.Itoa(r.GoMaxProcs), r.GoVersion, r.MachineLoad},
 	)
 }
 
-func verdictTable(lines []Line) string {
+// verdictTable counts, for each role, the estimates within and beyond their bounds.
+func verdictTable(lines []Estimate) string {
 	rows := [][]string{{"role", "lines", "carried", "not carried"}}
 	for first := 0; first < len(lines); {
 		last, carried := first, 0
 		for ; last < len(lines) && lines[last].Role == lines[first].Role; last++ {
-			if lines[last].Carried() {
+			if lines[last].WithinBound() {
 				carried++
 			}
 		}
 		rows = append(rows, []string{lines[first].Role, strconv.Itoa(last - first), strconv.Itoa(carried), strconv.Itoa(last - first - carried)})
 		first = last
 	}
-	return table(rows...)
+	return markdownTable(rows...)
 }
 
 func seriesTable(series []Series) string {
@@ -90,84 +92,89 @@
 	for _, s := range series {
 		var points []string
 		for _, p := range s.Points {
-			points = append(points, human(p.X, "")+": "+human(p.Y, s.Unit))
+			points = append(points, formatValue(p.X, "")+": "+formatValue(p.Y, s.Unit))
 		}
 		rows = append(rows, []string{
-			"`" + s.ID + "`", s.What, s.X, strings.Join(points, "; "),
-			human(s.Fit.Slope, s.Unit), human(s.Fit.Intercept, s.Unit), fmt.Sprintf("%.3f", s.Fit.R2),
+			"`" + s.ID + "`", s.Quantity, s.SizeLabel, strings.Join(points, "; "),
+			formatValue(s.Fit.Slope, s.Unit), formatValue(s.Fit.Intercept, s.Unit), fmt.Sprintf("%.3f", s.Fit.R2),
 		})
 	}
-	return table(rows...)
+	return markdownTable(rows...)
 }
 
-func linesTable(m model, lines []Line) string {
+func estimatesTable(m model, lines []Estimate) string {
 	rows := [][]string{{"role", "kind", "figure", "at scale", "bound", "carried", "by, or what would carry it", "series, extrapolated by"}}
 	for _, l := range lines {
-		verdict, how := "**no**", l.Instead
-		if l.Carried() {
-			verdict, how = "yes", l.By
+		verdict, how := "**no**", l.Alternative
+		if l.WithinBound() {
+			verdict, how = "yes", l.Mechanism
 		}
 		if how == "" {
 			how = "–"
 		}
-		rows = append(rows, []string{l.Role, l.Kind, l.Figure, human(l.Value, l.Unit), human(l.Bound, l.Unit), verdict, how, source(m, l)})
+		rows = append(rows, []string{l.Role, l.Kind, l.Quantity, formatValue(l.Value, l.Unit), formatValue(l.Bound, l.Unit), verdict, how, formatSource(m, l)})
 	}
-	return table(rows...) + fmt.Sprintf("\nA core makes %s dispatch decisions per second, and %s admissions with routing and look-up of the owner.\n",
-		thousands(1e9/m.at("dispatch-request", upstreamsPerNode)), thousands(1e9/m.decision()))
+	return markdownTable(rows...) + fmt.Sprintf("\nA core makes %s dispatch decisions per second, and %s admissions with routing and look-up of the owner.\n",
+		formatThousands(1e9/m.valueAt("dispatch-request", upstreamsPerNode)), formatThousands(1e9/m.decisionCPU()))
 }
 
-func thousands(v float64) string { return strconv.Itoa(int(math.Round(v/1000))) + ",000" }
+// formatThousands rounds v to thousands.
+func formatThousands(v float64) string { return strconv.Itoa(int(math.Round(v/1000))) + ",000" }
 
-func source(m model, l Line) string {
-	if l.Source == "" {
+// formatSource says how an estimate was obtained: computed, or from a series, with the
+// extrapolation factor if the size is beyond the measured range.
+func formatSource(m model, l Estimate) string {
+	if l.SeriesID == "" {
 		return "computed"
 	}
-	f := m.factor(l.Source, l.At)
+	f := m.extrapolationFactor(l.SeriesID, l.Size)
 	if f <= 1 {
-		return "`" + l.Source + "`, within the range"
+		return "`" + l.SeriesID + "`, within the range"
 	}
-	return "`" + l.Source + "`, × " + human(f, "")
+	return "`" + l.SeriesID + "`, × " + formatValue(f, "")
 }
 
-// keysTable computes both readings of "4.5 billion keys in use".
+// keysTable estimates the costs for both meanings that "4.5 billion keys in use" can
+// have: caller keys or routing keys.
 func keysTable(m model) string {
 	bucket := 700e3 / m.slope("catalogue-bytes")
-	perNode := 2 * keys / nodes
-	return table(
+	perNode := 2 * keysInUse / nodes
+	return markdownTable(
 		[]string{"reading", "figure", "value", "carried"},
-		[]string{"caller keys", "one catalogue record", human(m.at("catalogue-bytes", keys), "B"), "**no**: 1 MB"},
-		[]string{"caller keys", "index on every node", human(m.at("index-heap", keys), "B"), "**no**: 256 MB"},
-		[]string{"caller keys", "time to build it", human(m.at("index-build", keys), "ns"), "**no**: 4 s"},
-		[]string{"caller keys", "proposal: buckets of 700 kB, one store value each, " + human(bucket, "") + " keys in each", human(keys/bucket, "") + " values", "open: the store's total size is not stated"},
-		[]string{"caller keys", "proposal: each bucket kept by two nodes, index per node", human(m.slope("index-heap")*perNode, "B"), fits(m.slope("index-heap")*perNode, memoryBound)},
-		[]string{"caller keys", "proposal: first load of all buckets at 2,000 reads/s", human(keys/bucket/readsBound*1e9, "ns"), "open: the nodes serve what they hold meanwhile"},
-		[]string{"caller keys", "proposal: share of requests that may miss every node and read the store", human(100*readsBound/requests, "") + " %", "open: depends on the callers"},
-		[]string{"routing keys", "keys per shard with 379,500 shards", human(keys/units, ""), "yes: state grows with shards, not with keys"},
-		[]string{"routing keys", "assignment record", human(m.recordBytes(nodes, units), "B"), "**no**: 1 MB; with cells yes"},
-		[]string{"routing keys", "for comparison: every key a unit of its own, record", human(m.at("assignment-bytes", keys), "B"), "**no**; not proposed"},
-		[]string{"routing keys", "for comparison: every key a unit, memory of an instance", human(m.at("assignment-heap", keys), "B"), "**no**; not proposed"},
+		[]string{"caller keys", "one catalogue record", formatValue(m.valueAt("catalogue-bytes", keysInUse), "B"), "**no**: 1 MB"},
+		[]string{"caller keys", "index on every node", formatValue(m.valueAt("index-heap", keysInUse), "B"), "**no**: 256 MB"},
+		[]string{"caller keys", "time to build it", formatValue(m.valueAt("index-build", keysInUse), "ns"), "**no**: 4 s"},
+		[]string{"caller keys", "proposal: buckets of 700 kB, one store value each, " + formatValue(bucket, "") + " keys in each", formatValue(keysInUse/bucket, "") + " values", "open: the store's total size is not stated"},
+		[]string{"caller keys", "proposal: each bucket kept by two nodes, index per node", formatValue(m.slope("index-heap")*perNode, "B"), boundVerdict(m.slope("index-heap")*perNode, memoryBound)},
+		[]string{"caller keys", "proposal: first load of all buckets at 2,000 reads/s", formatValue(keysInUse/bucket/readsBound*1e9, "ns"), "open: the nodes serve what they hold meanwhile"},
+		[]string{"caller keys", "proposal: share of requests that may miss every node and read the store", formatValue(100*readsBound/totalRequestRate, "") + " %", "open: depends on the callers"},
+		[]string{"routing keys", "keys per shard with 379,500 shards", formatValue(keysInUse/units, ""), "yes: state grows with shards, not with keys"},
+		[]string{"routing keys", "assignment record", formatValue(m.recordBytes(nodes, units), "B"), "**no**: 1 MB; with cells yes"},
+		[]string{"routing keys", "for comparison: every key a unit of its own, record", formatValue(m.valueAt("assignment-bytes", keysInUse), "B"), "**no**; not proposed"},
+		[]string{"routing keys", "for comparison: every key a unit, memory of an instance", formatValue(m.valueAt("assignment-heap", keysInUse), "B"), "**no**; not proposed"},
 	)
 }
 
-func fits(value, bound float64) string {
+// boundVerdict returns the text of the page for a value with an upper bound.
+func boundVerdict(value, bound float64) string {
 	if value <= bound {
 		return "yes"
 	}
 	return "**no**"
 }
 
-// pollsTable shows all-to-all polls at several sizes of the member list.
+// pollsTable shows the costs of all-to-all polls for several sizes of the member list.
 func pollsTable(m model) string {
 	rows := [][]string{{"members", "polls sent and answered", "traffic of one member", "processor of one member", "connections of one member", "traffic", "processor"}}
 	for _, n := range []float64{5, 12, 24, 48, 200, 1000, nodes} {
 		rows = append(rows, []string{
-			human(n, ""), human(2*(n-1)/pollEvery.Seconds(), "1/s"), human(m.pollBytes(n), "B/s"), human(m.pollCPU(n), "core"),
-			human(m.at("poll-heap", n), "B"), fits(m.pollBytes(n), bytesBound), fits(m.pollCPU(n), cpuBound),
+			formatValue(n, ""), formatValue(2*(n-1)/pollInterval.Seconds(), "1/s"), formatValue(m.pollBytes(n), "B/s"), formatValue(m.pollCPU(n), "core"),
+			formatValue(m.valueAt("poll-heap", n), "B"), boundVerdict(m.pollBytes(n), bytesBound), boundVerdict(m.pollCPU(n), cpuBound),
 		})
 	}
-	return table(rows...) + fmt.Sprintf("\nLargest member list within the bounds: %d by traffic, %d by processor, %d by reads of the store.\n",
+	return markdownTable(rows...) + fmt.Sprintf("\nLargest member list within the bounds: %d by traffic, %d by processor, %d by reads of the store.\n",
 		largestCell(m.pollBytes, bytesBound), largestCell(m.pollCPU, cpuBound),
-		largestCell(func(n float64) float64 { return m.at("store-reads", n) }, readsBound))
+		largestCell(func(n float64) float64 { return m.valueAt("store-reads", n) }, readsBound))
 }
 
 func cellsTable(m model) string {
@@ -175,17 +182,17 @@
 	head := []string{"figure", "bound"}
 	var cells []Cell
 	for _, n := range sizes {
-		head = append(head, "cells of "+human(n, ""))
-		cells = append(cells, m.cell(n))
+		head = append(head, "cells of "+formatValue(n, ""))
+		cells = append(cells, m.cellCost(n))
 	}
 	rows := [][]string{head}
 	row := func(figure, unit string, bound float64, value func(Cell) float64) {
 		r := []string{figure, "–"}
 		if bound > 0 {
-			r[1] = human(bound, unit)
+			r[1] = formatValue(bound, unit)
 		}
 		for _, c := range cells {
-			v := human(value(c), unit)
+			v := formatValue(value(c), unit)
 			if bound > 0 && value(c) > bound {
 				v += " **no**"
 			}
@@ -195,7 +202,7 @@
 	}
 	row("cells", "", 0, func(c Cell) float64 { return c.Cells })
 	row("units per cell", "", 0, func(c Cell) float64 { return c.Units })
-	row("assignment record", "B", valueBound, func(c Cell) float64 { return c.Record })
+	row("assignment record", "B", storeValueBound, func(c Cell) float64 { return c.Record })
 	row("plan, encode, decode", "ns", planBound, func(c Cell) float64 { return c.Plan })
 	row("records to a member", "B/s", bytesBound, func(c Cell) float64 { return c.AssignmentBytes })
 	row("polls as today, traffic", "B/s", bytesBound, func(c Cell) float64 { return c.PollBytes })
@@ -207,47 +214,51 @@
 	row("writes after the loss of a zone, in the first second", "", writesBound, func(c Cell) float64 { return c.ZoneWrites })
 	row("choice of homes at today's pace", "core", cpuBound, func(c Cell) float64 { return c.HomeCPU })
 	row("rejected: batched token calls of a home, every cell of the region asking (estimate)", "B/s", bytesBound, func(c Cell) float64 { return c.TokenBytes })
-	return table(rows...)
+	return markdownTable(rows...)
 }
 
-func splitsTable() string {
+func partitionsTable() string {
 	rows := [][]string{{"regions apart as", "today, with one member list: authority", "requests served"}}
-	for _, s := range splits() {
-		rows = append(rows, []string{s.Groups, s.Serving, human(100*s.Share(), "") + " %"})
+	for _, s := range partitions() {
+		rows = append(rows, []string{s.Groups, s.Authority, formatValue(100*s.ServedShare(), "") + " %"})
 	}
-	return table(rows...)
+	return markdownTable(rows...)
 }
 
-// human writes a value with three digits and a prefix that suits the unit. The
-// unit core takes nanoseconds of processor time per second.
-func human(v float64, unit string) string {
+// formatValue formats a value with three significant digits and a unit prefix that
+// suits it. For the unit "core", v is in nanoseconds of processor time per second and is
+// written as a percentage of one core.
+func formatValue(v float64, unit string) string {
 	switch unit {
 	case "ns":
-		return scaled(v, []string{" ns", " µs", " ms", " s"})
+		return formatScaled(v, []string{" ns", " µs", " ms", " s"})
 	case "core":
-		return digits(v/1e7) + " %"
+		return formatDigits(v/1e7) + " %"
 	case "B", "B/s":
-		s := scaled(v, []string{" B", " kB", " MB", " GB", " TB"})
+		s := formatScaled(v, []string{" B", " kB", " MB", " GB", " TB"})
 		return s + strings.TrimPrefix(unit, "B")
 	case "s":
-		return digits(v) + " s"
+		return formatDigits(v) + " s"
 	case "1/s":
-		return digits(v) + "/s"
+		return formatDigits(v) + "/s"
 	default:
-		return digits(v)
+		return formatDigits(v)
 	}
 }
 
-func scaled(v float64, names []string) string {
+// formatScaled divides v by 1000 until it has at most three integer digits, and appends
+// the unit name for the number of divisions.
+func formatScaled(v float64, names []string) string {
 	i := 0
 	for math.Abs(v) >= 999.5 && i < len(names)-1 {
 		v /= 1000
 		i++
 	}
-	return digits(v) + names[i]
+	return formatDigits(v) + names[i]
 }
 
-func digits(v float64) string {
+// formatDigits formats v with three significant digits, or as an integer from 100 on.
+func formatDigits(v float64) string {
 	switch a := math.Abs(v); {
 	case a == 0:
 		return "0"
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -1,9 +1,10 @@
-// Package capacity measures what the parts of the router cost at several sizes
-// and computes their cost at the design scale from linear fits.
+// Package capacity measures the memory, processor time and traffic of the router's
+// parts at several sizes. It computes their costs at the design scale from linear fits
+// and writes them as tables into a Markdown page.
 //
-// Processor times are those of the whole process (getrusage), garbage collection
-// included, because wall-clock times on a shared machine measure the other load.
-// Each point is the median of three runs.
+// Processor times are those of the whole process (getrusage), including garbage
+// collection. Wall-clock times are not used, because on a shared machine they depend on
+// the other load. Each point of a processor time is the median of three runs.
 package capacity
 
 import (
@@ -19,27 +20,28 @@
 
 // Series is one quantity measured at several sizes.
 type Series struct {
-	ID     string
-	What   string // the quantity
-	X      string // what the size counts
-	Unit   string // of the quantity
-	Points []Point
-	Fit    Fit
+	ID        string
+	Quantity  string // name of the measured quantity
+	SizeLabel string // what the size counts, such as members
+	Unit      string // unit of the quantity; empty for a plain number
+	Points    []Point
+	Fit       Fit
 }
 
-// Point is a measurement.
+// Point is a measurement: the value Y at the size X.
 type Point struct{ X, Y float64 }
 
-// Fit is a least-squares line.
+// Fit is a least-squares line with its coefficient of determination.
 type Fit struct{ Slope, Intercept, R2 float64 }
 
-// At returns the value of the line, or 0 where the line is below it.
+// At returns the value of the line at x, or 0 where the line is negative.
 func (f Fit) At(x float64) float64 { return max(0, f.Intercept+f.Slope*x) }
 
-// At returns the value at size x: between measured sizes on the line through the
-// two nearest ones, above them on the fit, but not below the value at the largest
-// size: a slope that noise made negative would predict no cost at all. Below the
-// smallest size it returns the value there, which is an upper bound.
+// At returns the value at size x. Between measured sizes it interpolates linearly
+// between the two nearest ones. Above the largest size it returns the value of the fit,
+// but at least the value at the largest size: measurement noise can make the slope
+// negative, and the fit would then predict no cost. Below the smallest size it returns
+// the value at the smallest size, which is an upper bound.
 func (s Series) At(x float64) float64 {
 	points := slices.Clone(s.Points)
 	slices.SortFunc(points, func(a, b Point) int { return cmp.Compare(a.X, b.X) })
@@ -86,19 +88,20 @@
 	return f
 }
 
-// recorder collects points by series in the order of their first point.
+// recorder collects points into series, ordered by the first point of each.
 type recorder struct{ series []Series }
 
-func (r *recorder) add(id, what, x, unit string, at, value float64) {
+func (r *recorder) add(id, quantity, sizeLabel, unit string, size, value float64) {
 	i := slices.IndexFunc(r.series, func(s Series) bool { return s.ID == id })
 	if i < 0 {
 		i = len(r.series)
-		r.series = append(r.series, Series{ID: id, What: what, X: x, Unit: unit})
+		r.series = append(r.series, Series{ID: id, Quantity: quantity, SizeLabel: sizeLabel, Unit: unit})
 	}
-	r.series[i].Points = append(r.series[i].Points, Point{X: at, Y: value})
+	r.series[i].Points = append(r.series[i].Points, Point{X: size, Y: value})
 }
 
-// Measure runs all measurements. progress is told the name of each.
+// Measure runs all measurements and returns their series with fits. It calls progress
+// with the name of each measurement before it starts.
 func Measure(progress func(string)) ([]Series, error) {
 	r := &recorder{}
 	for _, m := range []struct {
@@ -128,19 +131,19 @@
 	return r.series, nil
 }
 
-const repeats = 3
+const runsPerPoint = 3
 
-// median runs f several times and returns the median of its results.
+// median calls f runsPerPoint times and returns the median of its results.
 func median(f func() float64) float64 {
-	var all [repeats]float64
+	var all [runsPerPoint]float64
 	for i := range all {
 		all[i] = f()
 	}
 	slices.Sort(all[:])
-	return all[repeats/2]
+	return all[runsPerPoint/2]
 }
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the user and system time that the process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -149,12 +152,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// minRun is long enough for the resolution of getrusage on all systems.
-const minRun = 100 * time.Millisecond
+// minCPUTime is the shortest processor time that is measured. It is long compared with
+// the resolution of getrusage on all systems.
+const minCPUTime = 100 * time.Millisecond
 
-// perCall returns the processor time of one call of f in nanoseconds. f is
-// repeated until minRun is used.
-func perCall(f func()) float64 {
+// cpuTimePerCall returns the processor time of one call of f in nanoseconds. It repeats
+// f until the calls have used minCPUTime.
+func cpuTimePerCall(f func()) float64 {
 	return median(func() float64 {
 		runtime.GC()
 		start, calls := cpuTime(), 0
@@ -163,25 +167,26 @@
 				f()
 			}
 			calls += batch
-			if used := cpuTime() - start; used >= minRun {
+			if used := cpuTime() - start; used >= minCPUTime {
 				return float64(used) / float64(calls)
 			}
 		}
 	})
 }
 
-// retained returns what build returns and the bytes of heap and stacks that it
-// keeps in use.
-func retained[T any](build func() T) (T, float64) {
-	before := inUse()
+// retainedMemory returns the result of build and the bytes of heap and stacks that
+// remain in use after the call.
+func retainedMemory[T any](build func() T) (T, float64) {
+	before := memoryInUse()
 	v := build()
-	after := inUse()
+	after := memoryInUse()
 	return v, math.Max(0, after-before)
 }
 
-func inUse() float64 {
+// memoryInUse returns the bytes of heap and stacks in use after garbage collection.
+func memoryInUse() float64 {
 	runtime.GC()
-	runtime.GC() // finalizers of the first round
+	runtime.GC() // frees objects whose finalizers ran after the first collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc) + float64(m.StackInuse)
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -21,13 +21,13 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// epoch is the start of simulated time.
+// epoch is the start of the simulated time in measurements without real connections.
 var epoch = time.Unix(1e9, 0)
 
 const (
 	shardsPerService    = 10_000
 	upstreamsPerService = 32
-	upstreamsPerNode    = 3 // both users run 33 to 35 upstreams with 12 instances
+	upstreamsPerNode    = 3 // both known deployments run 33 to 35 upstreams with 12 instances
 )
 
 func member(i int) assignment.Member {
@@ -46,20 +46,20 @@
 	return out
 }
 
-// settled returns the input of a planner that has nothing to do: every unit is
-// owned and every upstream is warm.
-func settled(units int) (assignment.Input, error) {
+// stablePlanInput returns a planner's input for which it changes nothing: every unit has
+// an owner and every upstream is warm.
+func stablePlanInput(units int) (assignment.Input, error) {
 	in := assignment.Input{Catalogue: &catalogue.Catalogue{}, Reports: map[fleet.UpstreamID]assignment.Report{}}
 	a := &assignment.Assignment{Members: members(12), NextFence: 1}
 	for first := 0; first < units; first += shardsPerService {
 		id := fleet.ServiceID(fmt.Sprintf("service-%04d", first/shardsPerService))
 		shards := min(shardsPerService, units-first)
 		in.Catalogue.Services = append(in.Catalogue.Services, catalogue.Service{ID: id, Shards: shards, Slots: 6, ColdSlots: 1})
-		var ups [upstreamsPerService]fleet.UpstreamID
-		for i := range ups {
-			ups[i] = fleet.UpstreamID(fmt.Sprintf("%s-up-%02d", id, i))
+		var serviceUpstreams [upstreamsPerService]fleet.UpstreamID
+		for i := range serviceUpstreams {
+			serviceUpstreams[i] = fleet.UpstreamID(fmt.Sprintf("%s-up-%02d", id, i))
 			m := a.Members[i%len(a.Members)]
-			u := assignment.Upstream{ID: ups[i], Service: id, Address: "10.0.0.1:80", Zone: m.Zone, Dispatcher: m.ID, Fence: a.NextFence, State: assignment.Live}
+			u := assignment.Upstream{ID: serviceUpstreams[i], Service: id, Address: "10.0.0.1:80", Zone: m.Zone, Dispatcher: m.ID, Fence: a.NextFence, State: assignment.Live}
 			a.NextFence++
 			a.Upstreams = append(a.Upstreams, u)
 			in.Listed = append(in.Listed, platform.Listed{Name: string(u.ID), Kind: platform.KindUpstream, Service: id, Address: u.Address, Zone: u.Zone, State: platform.StateLive})
@@ -67,14 +67,14 @@
 		}
 		for i := range shards {
 			a.Units = append(a.Units, assignment.Ownership{
-				Unit: fleet.Unit{Service: id, Shard: fleet.ShardID(i)}, Owner: ups[i%upstreamsPerService], Fence: a.NextFence,
+				Unit: fleet.Unit{Service: id, Shard: fleet.ShardID(i)}, Owner: serviceUpstreams[i%upstreamsPerService], Fence: a.NextFence,
 			})
 			a.NextFence++
 		}
 	}
 	var err error
 	in.Current, err = assignment.Decode(a.Encode())
-	for i := 0; err == nil && i < 5; i++ { // dispatchers move until their number is even
+	for i := 0; err == nil && i < 5; i++ { // the planner moves upstreams between dispatchers until their numbers are balanced
 		next, _, changed := assignment.Plan(epoch, in)
 		in.Current = next
 		if !changed {
@@ -82,7 +82,7 @@
 		}
 	}
 	if err == nil {
-		err = errors.New("the plan does not settle")
+		err = errors.New("the planner still changes the assignment after 5 plans")
 	}
 	return in, err
 }
@@ -90,14 +90,14 @@
 func measureAssignment(r *recorder) error {
 	const x = "units"
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6, 1e7} {
-		in, err := settled(n)
+		in, err := stablePlanInput(n)
 		if err != nil {
 			return err
 		}
 		at := float64(n)
 		data := in.Current.Encode()
 		r.add("assignment-bytes", "assignment record", x, "B", at, float64(len(data)))
-		decoded, heap := retained(func() *assignment.Assignment {
+		decoded, heap := retainedMemory(func() *assignment.Assignment {
 			a, err := assignment.Decode(data)
 			if err != nil {
 				return nil
@@ -105,17 +105,17 @@
 			return a
 		})
 		if decoded == nil {
-			return errors.Errorf("the record of %d units does not decode", n)
+			return errors.Errorf("decoding the assignment record of %d units failed", n)
 		}
 		r.add("assignment-heap", "decoded assignment", x, "B", at, heap)
 		runtime.KeepAlive(decoded)
-		r.add("assignment-encode", "encode", x, "ns", at, perCall(func() { in.Current.Encode() }))
-		r.add("assignment-decode", "decode", x, "ns", at, perCall(func() { _, _ = assignment.Decode(data) }))
-		r.add("plan-unchanged", "plan without a change", x, "ns", at, perCall(func() { assignment.Plan(epoch, in) }))
+		r.add("assignment-encode", "encode", x, "ns", at, cpuTimePerCall(func() { in.Current.Encode() }))
+		r.add("assignment-decode", "decode", x, "ns", at, cpuTimePerCall(func() { _, _ = assignment.Decode(data) }))
+		r.add("plan-unchanged", "plan without a change", x, "ns", at, cpuTimePerCall(func() { assignment.Plan(epoch, in) }))
 		first := in.Current.Upstreams[0].ID
 		in.Reports[first] = assignment.Report{Lost: true}
-		r.add("plan-lost", "plan after the loss of an upstream", x, "ns", at, perCall(func() { assignment.Plan(epoch, in) }))
-		r.add("owner", "look-up of an owner", x, "ns", at, perCall(func() {
+		r.add("plan-lost", "plan after the loss of an upstream", x, "ns", at, cpuTimePerCall(func() { assignment.Plan(epoch, in) }))
+		r.add("owner", "look-up of an owner", x, "ns", at, cpuTimePerCall(func() {
 			in.Current.Owner("service-0000", "some-routing-key", 0)
 		}))
 	}
@@ -133,14 +133,14 @@
 			})
 		}
 		r.add("members-bytes", "members and 3 upstreams each in the record", "members", "B", float64(n), float64(len(a.Encode())))
-		r.add("home-choice", "choice of a limit's home", "members", "ns", float64(n), perCall(func() { a.Home("account:some-account") }))
+		r.add("home-choice", "choice of a limit's home", "members", "ns", float64(n), cpuTimePerCall(func() { a.Home("account:some-account") }))
 	}
 	return nil
 }
 
 func account(i int) fleet.AccountID { return fleet.AccountID(fmt.Sprintf("account-%07d", i)) }
 
-// callerKeys returns a catalogue with n caller keys of 100 accounts.
+// callerKeys returns a catalogue with n caller keys, spread over 100 accounts.
 func callerKeys(n int) *catalogue.Catalogue {
 	c := &catalogue.Catalogue{
 		Services: []catalogue.Service{{ID: "lookup", Shards: 256, Slots: 6, ColdSlots: 1, Fencing: catalogue.FencingChecked, Timeout: time.Second}},
@@ -162,25 +162,25 @@
 
 func measureCatalogue(r *recorder) error {
 	const x = "caller keys"
-	for _, n := range []int{1e3, 2e3, 4e3} { // Parse refuses more than catalogue.MaxSize
+	for _, n := range []int{1e3, 2e3, 4e3} { // Parse refuses files larger than catalogue.MaxSize
 		data := callerKeys(n).Format()
 		if _, err := catalogue.Parse("catalogue", data); err != nil {
 			return err
 		}
-		r.add("catalogue-parse", "parse the catalogue", x, "ns", float64(n), perCall(func() { _, _ = catalogue.Parse("catalogue", data) }))
+		r.add("catalogue-parse", "parse the catalogue", x, "ns", float64(n), cpuTimePerCall(func() { _, _ = catalogue.Parse("catalogue", data) }))
 	}
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
 		c := callerKeys(n)
 		at := float64(n)
 		r.add("catalogue-bytes", "catalogue record", x, "B", at, float64(len(c.Format())))
-		index, heap := retained(func() *route.Index { return route.NewIndex(c) })
+		index, heap := retainedMemory(func() *route.Index { return route.NewIndex(c) })
 		r.add("index-heap", "index", x, "B", at, heap)
-		r.add("index-build", "build the index", x, "ns", at, perCall(func() { route.NewIndex(c) }))
+		r.add("index-build", "build the index", x, "ns", at, cpuTimePerCall(func() { route.NewIndex(c) }))
 		in := route.Incoming{Method: http.MethodGet, Target: "/halls/17", Header: http.Header{"X-Api-Key": {"\x00\x00\x00\x00\x00\x00\x00\x07"}}}
 		if _, refusal := route.Decide(epoch, index, in); refusal != nil {
 			return refusal
 		}
-		r.add("route", "route and authenticate a request", x, "ns", at, perCall(func() { route.Decide(epoch, index, in) }))
+		r.add("route", "route and authenticate a request", x, "ns", at, cpuTimePerCall(func() { route.Decide(epoch, index, in) }))
 	}
 	return nil
 }
@@ -191,7 +191,7 @@
 	l := fleet.Limit{Rate: 1000, Burst: 200}
 	for _, n := range []int{1e3, 1e4, 1e5} {
 		ids := make([]fleet.LimitID, n)
-		home, heap := retained(func() *limit.Home {
+		home, heap := retainedMemory(func() *limit.Home {
 			h := limit.NewHome(tokenTTL)
 			for i := range ids {
 				ids[i] = fleet.AccountLimit(account(i))
@@ -203,36 +203,36 @@
 		at := float64(n)
 		r.add("home-heap", "buckets of a home", "limits", "B", at, heap)
 		now, i := epoch.Add(time.Second), 0
-		r.add("home-take", "answer to a token call", "limits", "ns", at, perCall(func() {
+		r.add("home-take", "answer to a token call", "limits", "ns", at, cpuTimePerCall(func() {
 			now = now.Add(time.Millisecond)
 			home.Take(now, l, "instance-00001", limit.Call{ID: ids[i%n], Waiting: 1})
 			i++
 		}))
 	}
 	for _, n := range []int{1, 10, 100} {
-		r.add("token-calls-accounts", "token calls at 100 requests/s per limit", "limits", "1/s", float64(n), tokenCalls(n, 100))
+		r.add("token-calls-accounts", "token calls at 100 requests/s per limit", "limits", "1/s", float64(n), tokenCallRate(n, 100))
 	}
 	for _, rate := range []int{10, 100, 1000, 10_000} {
-		r.add("token-calls-rate", "token calls for one limit", "requests/s", "1/s", float64(rate), tokenCalls(1, rate))
+		r.add("token-calls-rate", "token calls for one limit", "requests/s", "1/s", float64(rate), tokenCallRate(1, rate))
 	}
 	for _, n := range []int{1e2, 1e3, 1e4} {
 		h := limit.NewHolder()
 		for i := range n {
 			h.Admit(epoch, []limit.Bounded{{ID: fleet.AccountLimit(account(i)), Limit: l}})
 		}
-		r.add("holder-tick", "tick of a holder", "limits", "ns", float64(n), perCall(func() { h.Tick(epoch) }))
-		r.add("admit", "admission of a request", "limits", "ns", float64(n), admission(n))
+		r.add("holder-tick", "tick of a holder", "limits", "ns", float64(n), cpuTimePerCall(func() { h.Tick(epoch) }))
+		r.add("admit", "admission of a request", "limits", "ns", float64(n), admissionCPU(n))
 	}
 	return nil
 }
 
-// tokenCalls returns the calls per second of one holder at a rate of requests for
-// each of n limits that do not refuse.
-func tokenCalls(n, rate int) float64 {
+// tokenCallRate returns the number of token calls per second that one holder makes for n
+// limits with rate requests/s each. The limits are high enough to admit all requests.
+func tokenCallRate(n, rate int) float64 {
 	const run = 5 * time.Second
 	l := fleet.Limit{Rate: fleet.PerSecond(2 * rate), Burst: fleet.Tokens(max(rate, 20))}
 	home, holder, calls := limit.NewHome(tokenTTL), limit.NewHolder(), 0
-	do := func(now time.Time, list []limit.Call) {
+	takeTokens := func(now time.Time, list []limit.Call) {
 		for _, c := range list {
 			calls++
 			holder.Add(now, c.ID, home.Take(now, l, "instance-00001", c))
@@ -250,18 +250,19 @@
 		for ; sent < int(float64(rate)*at.Seconds()); sent++ {
 			for _, b := range bounds {
 				if need, ok := holder.Admit(now, b).(limit.Need); ok {
-					do(now, need.Calls)
+					takeTokens(now, need.Calls)
 					holder.Admit(now, b)
 				}
 			}
 		}
-		do(now, holder.Tick(now))
+		takeTokens(now, holder.Tick(now))
 	}
 	return float64(calls) / run.Seconds()
 }
 
-// dispatcher returns a table whose upstreams are up, each with 23 units.
-func dispatcher(n int) *dispatch.Table {
+// newDispatchTable returns a dispatch table with n upstreams that are up, each with 23
+// units.
+func newDispatchTable(n int) *dispatch.Table {
 	t := dispatch.New(dispatch.Config{})
 	var duties []dispatch.Duty
 	for i := range n {
@@ -280,7 +281,8 @@
 	return t
 }
 
-// controlCalls answers the control calls and counts them.
+// controlCalls answers the control calls among actions, and those that follow from the
+// answers, and returns their number.
 func controlCalls(t *dispatch.Table, now time.Time, actions []dispatch.Action) int {
 	n := 0
 	for _, a := range actions {
@@ -295,7 +297,7 @@
 func measureDispatch(r *recorder) error {
 	const x = "upstreams of the dispatcher"
 	for _, n := range []int{3, 30, 300} {
-		t, heap := retained(func() *dispatch.Table { return dispatcher(n) })
+		t, heap := retainedMemory(func() *dispatch.Table { return newDispatchTable(n) })
 		at := float64(n)
 		r.add("dispatch-heap", "table of a dispatcher, 23 units per upstream", x, "B", at, heap)
 		now, calls := epoch, 0
@@ -304,11 +306,11 @@
 			calls += controlCalls(t, now, t.Tick(now, now.Add(time.Second)))
 		}
 		r.add("control-calls", "control calls to upstreams", x, "1/s", at, float64(calls)/5)
-		r.add("dispatch-tick", "tick of a dispatcher", x, "ns", at, perCall(func() { t.Tick(now, now.Add(time.Second)) }))
+		r.add("dispatch-tick", "tick of a dispatcher", x, "ns", at, cpuTimePerCall(func() { t.Tick(now, now.Add(time.Second)) }))
 		req := dispatch.Request{
 			ID: "r1", Account: "a", Unit: fleet.Unit{Service: "s"}, Key: "k", Upstream: "up-00000", Deadline: now.Add(time.Second),
 		}
-		r.add("dispatch-request", "request from Submit to the end of Done", x, "ns", at, perCall(func() {
+		r.add("dispatch-request", "request from Submit to the end of Done", x, "ns", at, cpuTimePerCall(func() {
 			t.Submit(now, req)
 			t.Done(now, req.ID, 1, dispatch.Result{Kind: dispatch.Answered, Status: http.StatusOK, Boot: "b1"})
 		}))
@@ -319,7 +321,7 @@
 func measureMetrics(r *recorder) error {
 	const x = "client accounts"
 	for _, n := range []int{8, 50, 100, 200} {
-		m, heap := retained(func() *metrics.Metrics {
+		m, heap := retainedMemory(func() *metrics.Metrics {
 			m := metrics.New()
 			for i := range n {
 				m.Served(account(i), catalogue.Idempotent, http.StatusOK, time.Millisecond)
@@ -343,9 +345,9 @@
 	return nil
 }
 
-// admission is the cost of a request that finds tokens of its account and entry
-// at a holder of n limits.
-func admission(n int) float64 {
+// admissionCPU returns the processor time in ns for the admission of a request, at a
+// holder that has tokens for the limits of n accounts and of one entry.
+func admissionCPU(n int) float64 {
 	h, l := limit.NewHolder(), fleet.Limit{Rate: 1e9, Burst: 1e9}
 	bounds := make([][]limit.Bounded, n)
 	for i := range bounds {
@@ -354,7 +356,7 @@
 	}
 	h.Add(epoch, "entry:halls", limit.Lease{ID: 1, Granted: 1e12, TTL: tokenTTL})
 	i := 0
-	return perCall(func() {
+	return cpuTimePerCall(func() {
 		h.Admit(epoch, bounds[i%n])
 		i++
 	})
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -28,28 +28,29 @@
 
 const (
 	secret = peer.Secret("0123456789abcdef0123456789abcdef")
-	// period is long enough for 20 rounds of polls.
-	period    = 3 * time.Second
-	pollEvery = 200 * time.Millisecond
-	// detailsEvery is the number of polls of which one asks for details, as
-	// instances other than the planner do once a second.
-	detailsEvery = 5
-	readEvery    = 250 * time.Millisecond
+	// measurePeriod is the duration of a measurement of polls or of store reads. For
+	// polls it is the time of 15 rounds.
+	measurePeriod = 3 * time.Second
+	pollInterval  = 200 * time.Millisecond
+	// pollsPerDetails is the number of polls of which one requests details. Instances
+	// other than the planner request details once a second.
+	pollsPerDetails     = 5
+	changesReadInterval = 250 * time.Millisecond
 )
 
-// forwarder passes TCP connections on and counts the bytes of both directions.
-type forwarder struct {
+// countingProxy is a TCP proxy that counts the payload bytes of both directions.
+type countingProxy struct {
 	listener net.Listener
 	target   string
 	bytes    atomic.Int64
 }
 
-func forward(target string) (*forwarder, error) {
+func startCountingProxy(target string) (*countingProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &forwarder{listener: ln, target: target}
+	f := &countingProxy{listener: ln, target: target}
 	go func() {
 		for {
 			in, err := ln.Accept()
@@ -61,55 +62,57 @@
 				_ = in.Close()
 				continue
 			}
-			go f.pass(in, out)
-			go f.pass(out, in)
+			go f.copyBytes(in, out)
+			go f.copyBytes(out, in)
 		}
 	}()
 	return f, nil
 }
 
-func (f *forwarder) addr() string { return f.listener.Addr().String() }
+func (f *countingProxy) addr() string { return f.listener.Addr().String() }
 
-func (f *forwarder) close() { _ = f.listener.Close() }
+func (f *countingProxy) close() { _ = f.listener.Close() }
 
-// pass copies until either end closes.
-func (f *forwarder) pass(to, from net.Conn) {
+// copyBytes copies from one connection to the other until either end closes, and counts
+// the bytes.
+func (f *countingProxy) copyBytes(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
 	_, _ = io.Copy(io.MultiWriter(to, f), from)
 }
 
-// Write counts.
-func (f *forwarder) Write(b []byte) (int, error) {
+// Write adds the length of b to the number of bytes counted.
+func (f *countingProxy) Write(b []byte) (int, error) {
 	f.bytes.Add(int64(len(b)))
 	return len(b), nil
 }
 
-// answering is an instance that answers polls and token calls.
-type answering struct {
-	peer.Handler // the other messages are not sent
-	answer       peer.PollAnswer
+// fakeMember is an instance that answers polls with a fixed answer, and token calls.
+type fakeMember struct {
+	peer.Handler // nil: no other messages are sent
+	fixedAnswer  peer.PollAnswer
 	mu           sync.Mutex
 	home         *limit.Home
 }
 
-func (a *answering) Poll(_ context.Context, q peer.PollRequest) peer.PollAnswer {
-	answer := a.answer
+func (a *fakeMember) Poll(_ context.Context, q peer.PollRequest) peer.PollAnswer {
+	answer := a.fixedAnswer
 	answer.Details = q.Details
 	return answer
 }
 
-func (a *answering) Tokens(_ context.Context, m peer.TokensRequest) peer.TokensAnswer {
+func (a *fakeMember) Tokens(_ context.Context, m peer.TokensRequest) peer.TokensAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := fleet.Limit{Rate: 1e6, Burst: 1e6}
 	return peer.TokensAnswer{Lease: a.home.Take(time.Now(), l, m.Holder, m.Call)}
 }
 
-// pollAnswer is the answer of a settled member: it has heard all others and
-// reports three upstreams with the most hot keys that a report has.
+// pollAnswer returns the answer of a member among n in a stable fleet: it has heard all
+// others, and reports three upstreams with 8 hot keys each, the largest number that a
+// report has.
 func pollAnswer(n int) peer.PollAnswer {
 	a := peer.PollAnswer{
-		From: member(0).ID, Boot: member(0).Boot, Phase: peer.Serving, Known: known, StoreAge: 130 * time.Millisecond,
+		From: member(0).ID, Boot: member(0).Boot, Phase: peer.Serving, Known: knownRevisions, StoreAge: 130 * time.Millisecond,
 		Heard: make(map[fleet.InstanceID]time.Duration, n), Reports: map[fleet.UpstreamID]assignment.Report{},
 	}
 	for i := 1; i < n; i++ {
@@ -125,20 +128,22 @@
 	return a
 }
 
-var known = authority.Known{Catalogue: 123_456, Assignment: 123_789}
+// knownRevisions are the revisions that polls and their answers report.
+var knownRevisions = authority.Known{Catalogue: 123_456, Assignment: 123_789}
 
 func pollRequest() peer.PollRequest {
-	return peer.PollRequest{From: member(1), Phase: peer.Serving, Known: known}
+	return peer.PollRequest{From: member(1), Phase: peer.Serving, Known: knownRevisions}
 }
 
-// peers are members that listen on loopback, and a client connected to them.
-type peers struct {
+// peerGroup is a group of members that listen on loopback, and a client with connections
+// to all of them.
+type peerGroup struct {
 	servers []*peer.Server
 	client  *peer.Client
 }
 
-func startPeers(n int, h peer.Handler) (*peers, error) {
-	p := &peers{client: peer.NewClient(secret)}
+func startPeerGroup(n int, h peer.Handler) (*peerGroup, error) {
+	p := &peerGroup{client: peer.NewClient(secret)}
 	for range n {
 		s, err := peer.Listen("127.0.0.1:0", secret, h)
 		if err != nil {
@@ -156,25 +161,26 @@
 	return p, nil
 }
 
-// round polls every member once, as the n-th round, all at the same time, and
-// returns the number of polls without an answer within peer.CallTimeout.
-func (p *peers) round(n int) int {
+// pollAll polls all members at the same time and returns the number of polls without an
+// answer within peer.CallTimeout. round is the number of the round, which decides
+// whether the polls request details.
+func (p *peerGroup) pollAll(round int) int {
 	q := pollRequest()
-	q.Details = n%detailsEvery == 0
-	var missed atomic.Int64
+	q.Details = round%pollsPerDetails == 0
+	var unanswered atomic.Int64
 	var wg sync.WaitGroup
 	for _, s := range p.servers {
 		wg.Go(func() {
 			if _, err := p.client.Poll(context.Background(), s.Addr(), q); err != nil {
-				missed.Add(1)
+				unanswered.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	return int(missed.Load())
+	return int(unanswered.Load())
 }
 
-func (p *peers) close() {
+func (p *peerGroup) close() {
 	p.client.Close()
 	for _, s := range p.servers {
 		s.Close()
@@ -184,17 +190,17 @@
 func measurePolls(r *recorder) error {
 	const x = "members"
 	for _, n := range []int{12, 48, 200} {
-		if err := measurePollsOf(r, x, n); err != nil {
+		if err := measurePollsOfGroup(r, x, n); err != nil {
 			return errors.Wrapf(err, "%d members", n)
 		}
 	}
 	return nil
 }
 
-func measurePollsOf(r *recorder, x string, n int) error {
+func measurePollsOfGroup(r *recorder, x string, n int) error {
 	var failed error
-	p, memory := retained(func() *peers {
-		p, err := startPeers(n-1, &answering{answer: pollAnswer(n)})
+	p, memory := retainedMemory(func() *peerGroup {
+		p, err := startPeerGroup(n-1, &fakeMember{fixedAnswer: pollAnswer(n)})
 		failed = err
 		return p
 	})
@@ -203,43 +209,45 @@
 	}
 	defer p.close()
 	at := float64(n)
-	// Both ends are in this process. A member has the client end of one connection
-	// and the server end of another one for each of the others, which is the same.
+	// Both ends of n−1 connections are in this process. In a fleet, a member has the
+	// client end of one connection and the server end of another one for each other
+	// member, which needs the same memory.
 	r.add("poll-heap", "connections of one member with the others, both ends", x, "B", at, memory)
-	missed, polls := 0, 0
+	unanswered, polls := 0, 0
 	cpu := median(func() float64 {
 		start, rounds := cpuTime(), 0
-		tick := time.NewTicker(pollEvery)
+		tick := time.NewTicker(pollInterval)
 		defer tick.Stop()
-		for ; rounds < int(period/pollEvery); rounds++ {
-			missed += p.round(rounds)
+		for ; rounds < int(measurePeriod/pollInterval); rounds++ {
+			unanswered += p.pollAll(rounds)
 			polls += n - 1
 			<-tick.C
 		}
 		return float64(cpuTime()-start) / float64(rounds*(n-1))
 	})
 	r.add("poll-cpu", "poll and its answer, both ends", x, "ns", at, cpu)
-	r.add("poll-missed", "share of the polls that had no answer within 400 ms", x, "", at, float64(missed)/float64(polls))
-	f, err := forward(p.servers[0].Addr())
+	r.add("poll-missed", "share of the polls that had no answer within 400 ms", x, "", at, float64(unanswered)/float64(polls))
+	f, err := startCountingProxy(p.servers[0].Addr())
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	asked := 0
+	sent := 0
 	b, err := bytesPerCall(f, func(c *peer.Client) error {
 		q := pollRequest()
-		q.Details = asked%detailsEvery == 0
-		asked++
+		q.Details = sent%pollsPerDetails == 0
+		sent++
 		_, err := c.Poll(context.Background(), f.addr(), q)
 		return err
 	})
 	r.add("poll-bytes", "payload of a poll and its answer", x, "B", at, b)
-	r.add("poll-messages", "polls sent and answered per second", x, "1/s", at, 2*(at-1)/pollEvery.Seconds())
+	r.add("poll-messages", "polls sent and answered per second", x, "1/s", at, 2*(at-1)/pollInterval.Seconds())
 	return err
 }
 
-// bytesPerCall leaves out the handshake.
-func bytesPerCall(f *forwarder, call func(*peer.Client) error) (float64, error) {
+// bytesPerCall returns the average number of payload bytes of call, both directions,
+// without the handshake of the connection.
+func bytesPerCall(f *countingProxy, call func(*peer.Client) error) (float64, error) {
 	c := peer.NewClient(secret)
 	defer c.Close()
 	if err := call(c); err != nil {
@@ -256,21 +264,21 @@
 }
 
 func measureTokens(r *recorder) error {
-	h := &answering{home: limit.NewHome(tokenTTL), answer: pollAnswer(2)}
+	handler := &fakeMember{home: limit.NewHome(tokenTTL), fixedAnswer: pollAnswer(2)}
 	id := fleet.AccountLimit(account(1))
-	h.home.Activate(time.Now(), id, 1e6)
-	p, err := startPeers(1, h)
+	handler.home.Activate(time.Now(), id, 1e6)
+	p, err := startPeerGroup(1, handler)
 	if err != nil {
 		return err
 	}
 	defer p.close()
-	f, err := forward(p.servers[0].Addr())
+	f, err := startCountingProxy(p.servers[0].Addr())
 	if err != nil {
 		return err
 	}
 	defer f.close()
 	var lease limit.Lease
-	ask := func(c *peer.Client, addr string) error {
+	takeTokens := func(c *peer.Client, addr string) error {
 		call := limit.Call{ID: id, Waiting: 3, Closed: []limit.Closed{{Lease: lease.ID, Unused: 1}}}
 		a, err := c.Tokens(context.Background(), addr, peer.TokensRequest{Holder: member(1).ID, Call: call})
 		lease = a.Lease
@@ -280,7 +288,7 @@
 		cpu := median(func() float64 {
 			start := cpuTime()
 			for range n {
-				if e := ask(p.client, p.servers[0].Addr()); e != nil {
+				if e := takeTokens(p.client, p.servers[0].Addr()); e != nil {
 					err = e
 				}
 			}
@@ -289,7 +297,7 @@
 		r.add("token-cpu", "token calls one after the other, both ends", "calls", "ns", float64(n), cpu)
 		before := f.bytes.Load()
 		for range n {
-			if e := ask(p.client, f.addr()); e != nil {
+			if e := takeTokens(p.client, f.addr()); e != nil {
 				err = e
 			}
 		}
@@ -308,7 +316,7 @@
 		return err
 	}
 	defer s.Close()
-	f, err := forward(s.Addr())
+	f, err := startCountingProxy(s.Addr())
 	if err != nil {
 		return err
 	}
@@ -342,11 +350,11 @@
 	return err
 }
 
-// measureStore runs the two periodic readers of an instance: the changes every
-// 250 ms and the instance list every second.
+// measureStore measures the load on the store by the two periodic reads of an instance:
+// the changes every 250 ms and the instance list every second.
 func measureStore(r *recorder) error {
 	for _, n := range []int{3, 12, 48} {
-		reads, lists, err := storeCalls(n)
+		reads, lists, err := storeCallRates(n)
 		if err != nil {
 			return err
 		}
@@ -356,7 +364,9 @@
 	return nil
 }
 
-func storeCalls(n int) (reads, lists float64, err error) {
+// storeCallRates returns the reads of changes and of the instance list per second that
+// the store counts with n readers.
+func storeCallRates(n int) (reads, lists float64, err error) {
 	s, err := store.Start(store.Config{})
 	if err != nil {
 		return 0, 0, err
@@ -366,11 +376,11 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), period)
+	ctx, cancel := context.WithTimeout(context.Background(), measurePeriod)
 	defer cancel()
 	var wg sync.WaitGroup
 	var failures atomic.Int64
-	every := func(d time.Duration, read func(context.Context) error) {
+	callPeriodically := func(d time.Duration, read func(context.Context) error) {
 		wg.Go(func() {
 			tick := time.NewTicker(d)
 			defer tick.Stop()
@@ -390,11 +400,11 @@
 	for range n {
 		reader, list := platform.NewStore(client, s.Addr()), platform.NewList(client, s.Addr())
 		defer reader.Close()
-		every(readEvery, func(ctx context.Context) error {
+		callPeriodically(changesReadInterval, func(ctx context.Context) error {
 			_, err := reader.Changes(ctx, "parsley/", 0, 0)
 			return err
 		})
-		every(time.Second, func(ctx context.Context) error {
+		callPeriodically(time.Second, func(ctx context.Context) error {
 			_, err := list.Fetch(ctx)
 			return err
 		})
@@ -408,7 +418,7 @@
 	return stats["reads"] / took, stats["instance-calls"] / took, err
 }
 
-// storeStats reads the counters of GET /stats.
+// storeStats returns the numeric fields of the store's GET /stats.
 func storeStats(client *http1.Client, addr string) (map[string]float64, error) {
 	pool := client.NewPool(addr, http1.PoolConfig{MaxConns: 1})
 	defer pool.Close()
