--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,5 +1,5 @@
-// Command capacity measures what the router costs at several sizes and writes the
-// tables of docs/CAPACITY.md.
+// Command capacity measures the memory, processor time and traffic of the router at
+// several sizes, and writes the tables of docs/CAPACITY.md.
 package main
 
 import (
@@ -17,14 +17,14 @@
 )
 
 func newRoot() *cli.Command {
-	results := &cli.StringFlag{Name: "results", Usage: "`FILE` of the measurements", Value: "docs/capacity.json", Sources: cli.EnvVars("CAPACITY_RESULTS")}
-	page := &cli.StringFlag{Name: "page", Usage: "`FILE` whose tables are replaced", Value: "docs/CAPACITY.md", Sources: cli.EnvVars("CAPACITY_PAGE")}
-	beside := &cli.StringFlag{Name: "beside", Usage: "`TEXT` that says what else ran on the machine", Value: "not stated", Sources: cli.EnvVars("CAPACITY_BESIDE")}
+	resultsFlag := &cli.StringFlag{Name: "results", Usage: "`FILE` with the measurements", Value: "docs/capacity.json", Sources: cli.EnvVars("CAPACITY_RESULTS")}
+	pageFlag := &cli.StringFlag{Name: "page", Usage: "`FILE` whose tables are replaced", Value: "docs/CAPACITY.md", Sources: cli.EnvVars("CAPACITY_PAGE")}
+	otherLoadFlag := &cli.StringFlag{Name: "beside", Usage: "`TEXT` that describes the other load on the machine", Value: "not stated", Sources: cli.EnvVars("CAPACITY_BESIDE")}
 	return &cli.Command{
-		Name: "capacity", Usage: "cost of the router at the design scale",
+		Name: "capacity", Usage: "estimate the cost of the router at the design scale",
 		Commands: []*cli.Command{
 			{
-				Name: "measure", Usage: "measure, and write the results and the page", Flags: []cli.Flag{results, page, beside},
+				Name: "measure", Usage: "measure, and write the results and the page", Flags: []cli.Flag{resultsFlag, pageFlag, otherLoadFlag},
 				Action: func(_ context.Context, cmd *cli.Command) error {
 					if err := measure(cmd.String("results"), cmd.String("beside")); err != nil {
 						return err
@@ -33,7 +33,7 @@
 				},
 			},
 			{
-				Name: "page", Usage: "write the page from earlier results", Flags: []cli.Flag{results, page},
+				Name: "page", Usage: "write the page from earlier results", Flags: []cli.Flag{resultsFlag, pageFlag},
 				Action: func(_ context.Context, cmd *cli.Command) error {
 					return render(cmd.String("results"), cmd.String("page"))
 				},
@@ -42,10 +42,11 @@
 	}
 }
 
-func measure(file, beside string) error {
+// measure runs all measurements and writes the results to file.
+func measure(file, otherLoad string) error {
 	r := capacity.Run{
-		Date: time.Now().UTC().Format(time.DateOnly), Cores: runtime.NumCPU(), Used: runtime.GOMAXPROCS(0), Go: runtime.Version(),
-		Load: "load averages " + loadAverages() + "; beside: " + beside,
+		Date: time.Now().UTC().Format(time.DateOnly), Cores: runtime.NumCPU(), GoMaxProcs: runtime.GOMAXPROCS(0), GoVersion: runtime.Version(),
+		MachineLoad: "load averages " + loadAverages() + "; beside: " + otherLoad,
 	}
 	var err error
 	if r.Series, err = capacity.Measure(func(name string) { fmt.Fprintln(os.Stderr, "measuring", name) }); err != nil {
@@ -54,7 +55,8 @@
 	return os.WriteFile(file, r.Encode(), 0o644)
 }
 
-// loadAverages returns "unknown" where the system does not tell.
+// loadAverages returns the load averages over 1, 5 and 15 minutes, or "unknown" if the
+// system has no /proc/loadavg.
 func loadAverages() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(data))
@@ -64,6 +66,7 @@
 	return strings.Join(fields[:3], ", ")
 }
 
+// render replaces the tables of the page file by those computed from the results file.
 func render(results, page string) error {
 	data, err := os.ReadFile(results)
 	if err != nil {
