--- a/cmd/standin/baseline.go
+++ b/cmd/standin/baseline.go
@@ -11,14 +11,14 @@
 
 func baselineCommand() *cli.Command {
 	return &cli.Command{
-		Name: "baseline", Usage: "run an instance of the simplest router, for comparison",
+		Name: "baseline", Usage: "run an instance of a minimal router, for comparison",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name", Required: true},
 			&cli.StringFlag{Name: "zone"},
 			listenFlag("STANDIN_BASELINE_LISTEN"),
 			&cli.StringFlag{Name: "list", Required: true, Usage: "`IP:PORT` of the instance list"},
-			&cli.StringFlag{Name: "catalogue", Required: true, Usage: "`FILE`, read again when it changes"},
-			&cli.IntFlag{Name: "instances", Value: 1, Usage: "`NUMBER` of instances among which limits are split"},
+			&cli.StringFlag{Name: "catalogue", Required: true, Usage: "catalogue `FILE`, which is reloaded when it changes"},
+			&cli.IntFlag{Name: "instances", Value: 1, Usage: "`NUMBER` of instances that share each limit"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s, err := baseline.Start(baseline.Config{
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -19,12 +19,12 @@
 	return &cli.Command{
 		Name: "demo", Usage: "run a fleet and the baseline under load and faults, and compare them",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "shape", Value: "authority", Usage: "authority, porteria or small"},
-			&cli.DurationFlag{Name: "duration", Value: 30 * time.Second, Usage: "of the main phase"},
-			&cli.FloatFlag{Name: "rate", Usage: "`REQUESTS`/s (default: a third of the upstreams' capacity)"},
+			&cli.StringFlag{Name: "shape", Value: "authority", Usage: "shape of the fleet: authority, porteria or small"},
+			&cli.DurationFlag{Name: "duration", Value: 30 * time.Second, Usage: "duration of the main phase"},
+			&cli.FloatFlag{Name: "rate", Usage: "total load in `REQUESTS`/s (default: a third of the upstreams' capacity)"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.StringSliceFlag{Name: "kind", Usage: "direct, router or baseline; may be repeated (default: all)"},
-			&cli.StringFlag{Name: "run-dir", Usage: "`DIR` for logs, histories and reports (default: a new one for temporary files)"},
+			&cli.StringSliceFlag{Name: "kind", Usage: "system under test: direct, router or baseline; may be repeated (default: all)"},
+			&cli.StringFlag{Name: "run-dir", Usage: "`DIR` for logs, histories and reports (default: a new temporary directory)"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			shape, err := lab.FindShape(c.String("shape"))
--- a/cmd/standin/fleet.go
+++ b/cmd/standin/fleet.go
@@ -16,16 +16,16 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/standin/lab"
 )
 
-// fleetRate is the total rate in requests/s from which the limits of the accounts
-// follow.
-const fleetRate = 300
+// fleetRequestRate is the total rate in requests/s. The limits of the client accounts
+// are derived from it.
+const fleetRequestRate = 300
 
 func fleetCommand() *cli.Command {
 	return &cli.Command{
-		Name: "fleet", Usage: "run a fleet without load until it is interrupted, for a first session",
+		Name: "fleet", Usage: "run a fleet without load until it is interrupted, to try out the router",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "shape", Value: "small", Usage: "authority, porteria or small"},
-			&cli.StringFlag{Name: "run-dir", Usage: "`DIR` for logs and histories (default: a new one for temporary files)"},
+			&cli.StringFlag{Name: "shape", Value: "small", Usage: "shape of the fleet: authority, porteria or small"},
+			&cli.StringFlag{Name: "run-dir", Usage: "`DIR` for logs and histories (default: a new temporary directory)"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			shape, err := lab.FindShape(c.String("shape"))
@@ -45,7 +45,7 @@
 			if err != nil {
 				return err
 			}
-			f, err := lab.Start(ctx, lab.Options{Shape: shape, Kind: lab.Router, Dir: dir, Binaries: binaries, Rate: fleetRate, Seed: 1})
+			f, err := lab.Start(ctx, lab.Options{Shape: shape, Kind: lab.Router, Dir: dir, Binaries: binaries, Rate: fleetRequestRate, Seed: 1})
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,8 @@
 	}
 }
 
-// printFleet prints what a first session needs, as shell commands and comments.
+// printFleet prints the addresses, the operator token and a caller key of the fleet as
+// shell commands, and the processes of the upstreams as shell comments.
 func printFleet(w io.Writer, f *lab.Fleet) {
 	account := f.Shape.Accounts[0].ID
 	fmt.Fprintf(w, "# The fleet serves. Logs are in %s. Interrupt to stop it.\n", f.Dir)
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -16,19 +16,19 @@
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send an open-loop load of several client accounts",
+		Name: "load", Usage: "send requests of several client accounts at fixed rates (open-loop load)",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "target", Required: true, Usage: "`FIELDS` of an instance: name=i1;addr=IP:PORT"},
 			&cli.StringSliceFlag{Name: "account", Required: true, Usage: "`FIELDS` of an account: id=a1;key=SECRET;rate=100;times=3;target=i1;share=0.5"},
 			&cli.StringSliceFlag{Name: "entry", Required: true, Usage: "`FIELDS` of an entry: id=e1;service=s1;prefix=/s1/;class=idempotent;weight=1;keys=1000;skew=1.1"},
 			&cli.DurationFlag{Name: "duration", Value: 10 * time.Second},
-			&cli.IntFlag{Name: "max-requests", Usage: "0: no bound"},
+			&cli.IntFlag{Name: "max-requests", Usage: "largest number of requests; 0: no limit"},
 			&cli.IntFlag{Name: "max-in-flight", Value: 4096},
-			&cli.DurationFlag{Name: "deadline", Value: 2 * time.Second, Usage: "of each request"},
-			&cli.DurationFlag{Name: "delay", Usage: "network delay, waited before each request is sent"},
-			&cli.DurationFlag{Name: "hot-change", Usage: "the hot keys change this often"},
+			&cli.DurationFlag{Name: "deadline", Value: 2 * time.Second, Usage: "deadline of each request"},
+			&cli.DurationFlag{Name: "delay", Usage: "simulated network delay before each request is sent"},
+			&cli.DurationFlag{Name: "hot-change", Usage: "interval at which the hot keys change"},
 			&cli.DurationFlag{Name: "health", Value: 500 * time.Millisecond, Usage: "interval of readiness checks; 0: none"},
-			&cli.BoolFlag{Name: "direct", Usage: "targets are upstreams that check no fencing tokens"},
+			&cli.BoolFlag{Name: "direct", Usage: "targets are upstreams that do not check fencing tokens"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.StringFlag{Name: "history", Usage: "write the history to `FILE`"},
 		},
@@ -43,16 +43,16 @@
 		Health: c.Duration("health"), Direct: c.Bool("direct"), Seed: c.Uint64("seed"),
 	}
 	if err := errors.Join(
-		parseAll(c, "target", &cfg.Targets, load.ParseTarget),
-		parseAll(c, "account", &cfg.Accounts, load.ParseAccount),
-		parseAll(c, "entry", &cfg.Entries, load.ParseEntry),
+		parseFlagValues(c, "target", &cfg.Targets, load.ParseTarget),
+		parseFlagValues(c, "account", &cfg.Accounts, load.ParseAccount),
+		parseFlagValues(c, "entry", &cfg.Entries, load.ParseEntry),
 	); err != nil {
 		return err
 	}
 	if name := c.String("history"); name != "" {
 		f, err := os.Create(name)
 		if err != nil {
-			return errors.Wrap(err, "create history")
+			return errors.Wrap(err, "create the history file")
 		}
 		defer func() { _ = f.Close() }()
 		cfg.History = f
@@ -68,7 +68,8 @@
 	return err
 }
 
-func parseAll[T any](c *cli.Command, flag string, out *[]T, parse func(string) (T, error)) error {
+// parseFlagValues parses each value of a repeatable flag and appends the result to out.
+func parseFlagValues[T any](c *cli.Command, flag string, out *[]T, parse func(string) (T, error)) error {
 	for _, s := range c.StringSlice(flag) {
 		v, err := parse(s)
 		if err != nil {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,7 @@
-// Command standin runs the test doubles of the systems around the router. Each
-// subcommand prints "listening ADDR" on standard output when it is ready and
-// ends on SIGINT or SIGTERM.
+// Command standin runs test doubles of the systems that the router works with, and tools
+// for tests with them. Each test double prints a line that starts with "listening" and
+// contains its address on standard output when it is ready, and ends on SIGINT or
+// SIGTERM.
 package main
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// commands lists the subcommands, each from a file of its own.
+// commands lists the constructors of the subcommands. Each is defined in its own file.
 var commands = []func() *cli.Command{
 	storeCommand,
 	relayCommand,
@@ -26,9 +27,8 @@
 	fleetCommand,
 }
 
-// newRoot returns the command with its subcommands.
 func newRoot() *cli.Command {
-	root := &cli.Command{Name: "standin", Usage: "test doubles of the systems around parsleyproxy"}
+	root := &cli.Command{Name: "standin", Usage: "test doubles of the systems that parsleyproxy works with"}
 	for _, c := range commands {
 		root.Commands = append(root.Commands, c())
 	}
@@ -42,10 +42,11 @@
 	}
 }
 
-// listenFlag returns the flag --listen with its environment variable.
+// listenFlag returns the flag --listen, which can also be set by the environment
+// variable env.
 func listenFlag(env string) cli.Flag {
 	return &cli.StringFlag{
-		Name: "listen", Usage: "`ADDR` (IP:port) to listen on; port 0 picks a free one",
+		Name: "listen", Usage: "`ADDR` (IP:port) to listen on; with port 0 the system chooses a free port",
 		Value: "127.0.0.1:0", Sources: cli.EnvVars(env),
 	}
 }
@@ -56,11 +57,12 @@
 	Close()
 }
 
-// serve reports that s is ready and closes it on a signal or the end of ctx.
+// serve prints the ready line of s and closes s when SIGINT or SIGTERM arrives or ctx
+// is cancelled.
 func serve(ctx context.Context, cmd *cli.Command, s server) error {
 	defer s.Close()
 	if _, err := fmt.Fprintln(cmd.Root().Writer, "listening", s.Addr()); err != nil {
-		return errors.Wrap(err, "report the address")
+		return errors.Wrap(err, "print the address")
 	}
 	var g run.Group
 	g.Add(run.SignalHandler(ctx, os.Interrupt, syscall.SIGTERM))
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Guards against a test double that reports an address on which it does not
-// listen, or that does not end when it is told to.
+// Guards against a test double that prints an address on which it does not listen, or
+// that does not end when its context is cancelled.
 func TestReadyLine(t *testing.T) {
 	for _, name := range []string{"store", "relay"} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/standin/readme_test.go
+++ b/cmd/standin/readme_test.go
@@ -13,8 +13,8 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/standin/lab"
 )
 
-// Guards against commands in the README that do not work: the session is run as
-// it stands against a running fleet.
+// Guards against commands in the README that do not work: the test runs the session
+// unchanged against a running fleet.
 func TestReadmeSession(t *testing.T) {
 	page, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := lab.Start(ctx, lab.Options{Shape: shape, Kind: lab.Router, Dir: filepath.Join(dir, "fleet"), Binaries: binaries, Rate: fleetRate, Seed: 1})
+	f, err := lab.Start(ctx, lab.Options{Shape: shape, Kind: lab.Router, Dir: filepath.Join(dir, "fleet"), Binaries: binaries, Rate: fleetRequestRate, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,12 +67,14 @@
 	}
 }
 
-// checkLogs guards against a caller key or a token in the log of an instance.
+// checkLogs fails the test if the log of an instance is empty or contains one of secrets:
+// a caller key or the operator token. An empty secret, which was not found in the
+// output of the session, also fails the test.
 func checkLogs(t *testing.T, dir string, secrets []string) {
 	t.Helper()
 	logs, err := filepath.Glob(filepath.Join(dir, "instance-*.log"))
 	if err != nil || len(logs) == 0 {
-		t.Fatalf("logs: %v, %v", logs, err)
+		t.Fatalf("instance logs %v, error %v; want at least one log", logs, err)
 	}
 	for _, name := range logs {
 		text, err := os.ReadFile(name)
@@ -84,7 +86,7 @@
 		}
 		for _, s := range secrets {
 			if s == "" || strings.Contains(string(text), s) {
-				t.Errorf("%s contains a secret, or the secret %q was not found", filepath.Base(name), s)
+				t.Errorf("%s contains the secret %q, or the secret is empty", filepath.Base(name), s)
 			}
 		}
 	}
--- a/cmd/standin/relay.go
+++ b/cmd/standin/relay.go
@@ -11,7 +11,7 @@
 func relayCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "relay",
-		Usage: "TCP relay that injects network faults; routes are added through its control API",
+		Usage: "run a TCP relay that injects network faults; routes are added through its control API",
 		Flags: []cli.Flag{listenFlag("STANDIN_RELAY_LISTEN")},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			s, err := relay.Start(cmd.String("listen"))
--- a/cmd/standin/report.go
+++ b/cmd/standin/report.go
@@ -14,11 +14,11 @@
 
 func reportCommand() *cli.Command {
 	return &cli.Command{
-		Name: "report", Usage: "compute the figures of a run from the histories in its directory", ArgsUsage: "RUN-DIR",
+		Name: "report", Usage: "compute the results of a run from the histories in its directory", ArgsUsage: "RUN-DIR",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "upstreams", Usage: "`DIR` of the upstreams' histories (default: RUN-DIR)"},
+			&cli.StringFlag{Name: "upstreams", Usage: "`DIR` with the upstreams' histories (default: RUN-DIR)"},
 			&cli.StringFlag{Name: "compare", Usage: "compare with the report in `FILE`"},
-			&cli.StringFlag{Name: "direct", Usage: "report in `FILE` of a run over direct connections, for the added latency"},
+			&cli.StringFlag{Name: "direct", Usage: "`FILE` with the report of a run over direct connections, from which the added latency is computed"},
 		},
 		Action: runReport,
 	}
@@ -27,7 +27,7 @@
 func runReport(_ context.Context, c *cli.Command) error {
 	dir := c.Args().First()
 	if dir == "" || c.Args().Len() > 1 {
-		return errors.New("want one argument: the run's directory")
+		return errors.New("want one argument: RUN-DIR, the directory of the run")
 	}
 	upstreams := c.String("upstreams")
 	if upstreams == "" {
@@ -58,7 +58,7 @@
 		fmt.Fprintf(out, "\ncompared with %s\n%s", name, r.Compare(earlier))
 	}
 	if broken := r.Broken(); len(broken) > 0 {
-		return errors.Errorf("%d of the figures that must be 0 are not", len(broken))
+		return errors.Errorf("%d figures that must be 0 are not 0", len(broken))
 	}
 	return nil
 }
--- a/cmd/standin/store.go
+++ b/cmd/standin/store.go
@@ -11,7 +11,7 @@
 func storeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "store",
-		Usage: "key-value store and instance list of the platform",
+		Usage: "run the key-value store and the instance list of the platform",
 		Flags: []cli.Flag{
 			listenFlag("STANDIN_STORE_LISTEN"),
 			&cli.IntFlag{
@@ -23,7 +23,7 @@
 				Value: store.DefaultReads, Sources: cli.EnvVars("STANDIN_STORE_READS"),
 			},
 			&cli.DurationFlag{
-				Name: "lag", Usage: "`TIME` until a change of the instance list is visible; negative for none",
+				Name: "lag", Usage: "`TIME` until a change of the instance list is visible; negative for no delay",
 				Value: store.DefaultLag, Sources: cli.EnvVars("STANDIN_STORE_LAG"),
 			},
 		},
--- a/cmd/standin/upstream.go
+++ b/cmd/standin/upstream.go
@@ -23,12 +23,12 @@
 			&cli.StringFlag{Name: "service", Required: true},
 			&cli.StringFlag{Name: "zone"},
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`IP:PORT`"},
-			&cli.StringFlag{Name: "advertise", Usage: "`IP:PORT` in the instance list (default: the one listened on)"},
-			&cli.StringSliceFlag{Name: "secret", Usage: "`TEXT` whose arrival outside a body is recorded as a caller key"},
+			&cli.StringFlag{Name: "advertise", Usage: "`IP:PORT` in the instance list (default: the listening address)"},
+			&cli.StringSliceFlag{Name: "secret", Usage: "`TEXT` that is recorded as a leaked caller key if a request contains it outside its body"},
 			&cli.StringFlag{Name: "list", Usage: "`IP:PORT` of the instance list"},
 			&cli.IntFlag{Name: "slots", Value: 6},
 			&cli.IntFlag{Name: "cold-slots", Value: 2},
-			&cli.DurationFlag{Name: "warm-time", Value: 2 * time.Second, Usage: "work until the upstream is warm"},
+			&cli.DurationFlag{Name: "warm-time", Value: 2 * time.Second, Usage: "processing time after which the upstream is warm"},
 			&cli.DurationFlag{Name: "service-time", Value: 5 * time.Millisecond},
 			&cli.FloatFlag{Name: "straggle-probability"},
 			&cli.DurationFlag{Name: "straggle-time", Value: 200 * time.Millisecond},
@@ -38,7 +38,7 @@
 			&cli.DurationFlag{Name: "report-lag"},
 			&cli.BoolFlag{Name: "report-wrong"},
 			&cli.StringFlag{Name: "history", Usage: "append events to `FILE`"},
-			&cli.DurationFlag{Name: "drain-time", Value: 3 * time.Second, Usage: "service after SIGTERM"},
+			&cli.DurationFlag{Name: "drain-time", Value: 3 * time.Second, Usage: "time for which requests are still served after SIGTERM"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
 		Action: runUpstream,
@@ -60,12 +60,12 @@
 	case "none":
 		cfg.Unfenced = true
 	default:
-		return errors.Errorf("flag fencing: %q is neither checked nor none", v)
+		return errors.Errorf("--fencing: %q is neither checked nor none", v)
 	}
 	if name := c.String("history"); name != "" {
 		f, err := os.OpenFile(name, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
-			return errors.Wrap(err, "open history")
+			return errors.Wrap(err, "open the history file")
 		}
 		defer func() { _ = f.Close() }()
 		cfg.History = f
