--- a/internal/standin/lab/attributes_linux.go
+++ b/internal/standin/lab/attributes_linux.go
@@ -2,9 +2,10 @@
 
 import "syscall"
 
-// processAttributes makes the kernel end the process with the thread that
-// started it, in case the lab itself is killed. A group of its own keeps the
-// terminal's interrupt from it; the lab ends it in order instead.
+// processAttributes returns the attributes of a child process. The kernel sends it
+// SIGKILL when the thread that started it exits, so that it does not outlive a
+// killed lab. It gets a process group of its own, so that an interrupt from the
+// terminal does not reach it: Fleet.Close ends the processes in order instead.
 func processAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/standin/lab/binaries.go
+++ b/internal/standin/lab/binaries.go
@@ -13,10 +13,10 @@
 	"github.com/go-faster/errors"
 )
 
-// Binaries are the programs that the lab starts.
+// Binaries holds the paths of the executables that the lab starts.
 type Binaries struct {
 	Proxy   string // parsleyproxy
-	Standin string
+	Standin string // standin
 }
 
 const (
@@ -25,12 +25,12 @@
 	modulePath  = "github.com/parsleyproxy/parsleyproxy"
 )
 
-// FindBinaries returns the programs next to the running one, or builds them into
-// dir.
+// FindBinaries returns the executables in the directory of the running executable.
+// If they are not there, it builds them into dir.
 func FindBinaries(ctx context.Context, dir string) (Binaries, error) {
 	if self, err := os.Executable(); err == nil {
 		b := binariesIn(filepath.Dir(self))
-		if isFile(b.Proxy) && isFile(b.Standin) {
+		if isRegularFile(b.Proxy) && isRegularFile(b.Standin) {
 			return b, nil
 		}
 	}
@@ -51,37 +51,38 @@
 	return Binaries{Proxy: filepath.Join(dir, proxyName), Standin: filepath.Join(dir, standinName)}
 }
 
-func isFile(name string) bool {
+func isRegularFile(name string) bool {
 	info, err := os.Stat(name)
 	return err == nil && info.Mode().IsRegular()
 }
 
-// Ports below the range that systems use for outgoing connections, so that no
-// connection takes a port between its choice and its use.
+// Range of the ports assigned to processes. It lies below the ephemeral port
+// range, so that no outgoing connection takes a port between its assignment and
+// the moment when the process binds it.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 )
 
-// taken holds the ports that this process has chosen. Whoever gets one binds it
-// later, so that it still looks free for a while.
-var taken = struct {
+// assignedPorts holds the ports that freeAddrs has returned in this process. The
+// recipient binds a port only later; until then it still looks free.
+var assignedPorts = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: make(map[int]bool)}
 
-// freeAddrs returns n loopback addresses whose ports are free and have not been
-// returned before.
+// freeAddrs returns n loopback addresses with free ports, none of which an earlier
+// call has returned.
 func freeAddrs(n int) ([]string, error) {
-	taken.Lock()
-	defer taken.Unlock()
+	assignedPorts.Lock()
+	defer assignedPorts.Unlock()
 	out := make([]string, 0, n)
-	for tries := 0; len(out) < n; tries++ {
-		if tries > 100*n {
+	for attempts := 0; len(out) < n; attempts++ {
+		if attempts > 100*n {
 			return nil, errors.Errorf("found only %d of %d free ports", len(out), n)
 		}
 		port := firstPort + rand.IntN(lastPort-firstPort)
-		if taken.ports[port] {
+		if assignedPorts.ports[port] {
 			continue
 		}
 		addr := "127.0.0.1:" + strconv.Itoa(port)
@@ -90,7 +91,7 @@
 			continue
 		}
 		_ = ln.Close()
-		taken.ports[port] = true
+		assignedPorts.ports[port] = true
 		out = append(out, addr)
 	}
 	return out, nil
--- a/internal/standin/lab/fleet.go
+++ b/internal/standin/lab/fleet.go
@@ -1,10 +1,10 @@
-// Package lab starts the processes of a whole fleet on this machine, for
-// demonstrations and tests: the store, upstreams, instances and load. Only
-// loopback addresses are used.
+// Package lab runs a whole fleet on the local machine for demonstrations and
+// tests: the store, the upstreams, the instances and the load generators, each a
+// process of its own. All listeners use loopback addresses.
 //
-// Close ends every process that the lab started, each by its own process id. If
-// the lab is killed, the kernel ends them on Linux. Waiting is always for a
-// condition and bounded.
+// Fleet.Close ends every process that the lab started, each by its own process id.
+// If the lab itself is killed, the kernel ends the processes on Linux. The lab waits
+// for conditions instead of fixed times, and every wait has a timeout.
 package lab
 
 import (
@@ -27,26 +27,26 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Kind says what stands between callers and upstreams.
+// Kind is the type of instance between callers and upstreams.
 type Kind string
 
 // Kinds of fleets.
 const (
-	Router   Kind = "router"
-	Baseline Kind = "baseline"
-	Direct   Kind = "direct" // nothing: callers reach upstreams without fencing themselves
+	Router   Kind = "router"   // instances of parsleyproxy
+	Baseline Kind = "baseline" // instances of the baseline in the standin program
+	Direct   Kind = "direct"   // no instances: callers send to the upstreams, without fences
 )
 
-// Options describe a fleet.
+// Options configures a fleet.
 type Options struct {
 	Shape    Shape
 	Kind     Kind
-	Dir      string // of logs and histories; created
+	Dir      string // directory of the logs and histories; created if absent
 	Binaries Binaries
-	Rate     float64 // total requests/s, from which the limits follow
+	Rate     float64 // nominal load of all accounts in requests/s; account limits derive from it
 	Seed     uint64
-	Relayed  bool              // links between processes go through a relay; only for a Router
-	Fencing  catalogue.Fencing // of the upstreams; empty: checked for a Router, else none
+	Relayed  bool              // connect the processes through a relay that injects faults; only for Router
+	Fencing  catalogue.Fencing // fencing of the upstreams; empty: checked for Router, otherwise none
 }
 
 // Fleet is a running fleet.
@@ -57,28 +57,28 @@
 	Upstreams []Upstream
 	StoreAddr string
 
-	client  *http1.Client
-	network *network // nil unless Relayed
-	starter chan func()
-	stopped chan struct{}
+	client    *http1.Client
+	network   *relayNetwork // nil unless Relayed
+	startJobs chan func()
+	stopped   chan struct{}
 
 	mu        sync.Mutex
 	processes map[string]*Process
-	// upstreamSpecs says how to start an upstream again.
-	upstreamSpecs map[fleet.UpstreamID]spec
-	order         []*Process // as started
+	// upstreamSpecs holds the specs with which RestartUpstream starts upstreams again.
+	upstreamSpecs map[fleet.UpstreamID]processSpec
+	startOrder    []*Process // in the order of their start
 	events        []report.Event
 	closed        bool
 }
 
-// Instance is a router process.
+// Instance is a process of the router or the baseline, with its listen addresses.
 type Instance struct {
-	ID       fleet.InstanceID
-	Zone     fleet.ZoneID
-	Caller   string // addresses
-	Peer     string
-	Forward  string
-	Operator string
+	ID          fleet.InstanceID
+	Zone        fleet.ZoneID
+	Caller      string // listen address for requests from callers
+	PeerAddr    string
+	ForwardAddr string
+	Operator    string
 }
 
 // Upstream is an upstream process.
@@ -89,32 +89,33 @@
 	Addr    string
 }
 
-// Name of the store's process.
+// storeName is the name of the store's process and of the link to it.
 const storeName = "store"
 
-// Bounds of waiting.
+// Timeouts, and the interval at which a condition is checked.
 const (
 	startTimeout = 10 * time.Second
 	readyTimeout = 30 * time.Second
 	termTimeout  = 5 * time.Second
-	pollEvery    = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 )
 
-// Secrets of the test fleet.
+// fleetSecret is the secret that the instances of every test fleet share.
 const (
 	fleetSecret = "test-fleet-secret-0123456789abcdef"
 )
 
-// OperatorToken is the operators' bearer token of every test fleet.
+// OperatorToken is the bearer token for the operator API of every test fleet.
 const OperatorToken = "test-operator-token"
 
-// Client returns the client that all fleets of the process share. It is never
-// closed. With a client per fleet, 3 of 32 starts failed with "use of closed
-// network connection" on a new connection; with this one it happens less often.
+// Client returns the HTTP client that all fleets of the process share. It is never
+// closed. With one client per fleet, 3 of 32 starts failed with "use of closed
+// network connection" on a new connection. Sharing the client makes this failure
+// less frequent.
 var Client = sync.OnceValues(http1.NewClient)
 
-// Start starts a fleet and waits until it serves. The caller must Close it. On
-// an error everything has been ended.
+// Start starts a fleet and waits until it serves requests. The caller must call
+// Close. If Start returns an error, it has ended all processes.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
@@ -124,15 +125,15 @@
 		return nil, err
 	}
 	f := &Fleet{
-		Options: o, client: client, starter: make(chan func()), stopped: make(chan struct{}),
-		processes: make(map[string]*Process), upstreamSpecs: make(map[fleet.UpstreamID]spec),
+		Options: o, client: client, startJobs: make(chan func()), stopped: make(chan struct{}),
+		processes: make(map[string]*Process), upstreamSpecs: make(map[fleet.UpstreamID]processSpec),
 	}
 	if o.Relayed {
-		if f.network, err = newNetwork(f); err != nil {
+		if f.network, err = newRelayNetwork(f); err != nil {
 			return nil, err
 		}
 	}
-	go f.startOnOneThread()
+	go f.runStartJobs()
 	started := false
 	defer func() { // also on a panic
 		if !started {
@@ -148,66 +149,69 @@
 	return f, nil
 }
 
-// startOnOneThread starts processes on a thread that lives as long as the fleet,
-// because the kernel ends them with the thread that started them.
-func (f *Fleet) startOnOneThread() {
+// runStartJobs runs the jobs that start processes on a thread that lives until the
+// fleet is closed, because the kernel ends a process when the thread that started
+// it exits.
+func (f *Fleet) runStartJobs() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
 		select {
-		case do := <-f.starter:
-			do()
+		case job := <-f.startJobs:
+			job()
 		case <-f.stopped:
 			return
 		}
 	}
 }
 
-// run starts a process under its name, which may have been used by one that has
-// ended.
-func (f *Fleet) run(s spec) (*Process, error) {
+// startProcess starts a process and registers it by its name. It replaces an earlier
+// process of this name, which must have exited.
+func (f *Fleet) startProcess(s processSpec) (*Process, error) {
 	var p *Process
 	err := errors.New("the fleet is closed")
-	ran := make(chan struct{})
-	do := func() {
-		defer close(ran)
+	jobDone := make(chan struct{})
+	job := func() {
+		defer close(jobDone)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.closed {
 			return
 		}
-		if p, err = start(f.Dir, s); err == nil {
+		if p, err = execProcess(f.Dir, s); err == nil {
 			f.processes[s.name] = p
-			f.order = append(f.order, p)
+			f.startOrder = append(f.startOrder, p)
 		}
 	}
 	select {
-	case f.starter <- do:
-		<-ran
+	case f.startJobs <- job:
+		<-jobDone
 	case <-f.stopped:
 	}
 	return p, err
 }
 
-// listen starts a process and waits for the address that it prints.
-func (f *Fleet) listen(ctx context.Context, s spec) (string, error) {
-	p, err := f.run(s)
+// startAndAwaitAddr starts a process and returns the listen address that the process
+// prints.
+func (f *Fleet) startAndAwaitAddr(ctx context.Context, s processSpec) (string, error) {
+	p, err := f.startProcess(s)
 	if err != nil {
 		return "", err
 	}
 	return awaitAddr(ctx, p)
 }
 
+// awaitAddr waits until p prints its listen address.
 func awaitAddr(ctx context.Context, p *Process) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	select {
-	case addr := <-p.listening:
+	case addr := <-p.listenAddr:
 		return addr, nil
 	case <-p.done:
-		return "", errors.Errorf("%s ended before it listened: %v; its log ends with:\n%s", p.Name, p.err, p.logEnd())
+		return "", errors.Errorf("%s exited before it was listening: %v; end of its log:\n%s", p.Name, p.exitErr, p.logTail())
 	case <-ctx.Done():
-		return "", errors.Wrapf(ctx.Err(), "wait until %s listens", p.Name)
+		return "", errors.Wrapf(ctx.Err(), "wait until %s is listening", p.Name)
 	}
 }
 
@@ -215,7 +219,7 @@
 	if f.Kind == Direct {
 		return nil
 	}
-	f.StoreAddr, err = f.listen(ctx, spec{name: storeName, path: f.Binaries.Standin, args: []string{"store"}})
+	f.StoreAddr, err = f.startAndAwaitAddr(ctx, processSpec{name: storeName, path: f.Binaries.Standin, args: []string{"store"}})
 	return err
 }
 
@@ -233,13 +237,13 @@
 					return err
 				}
 				u.Addr = addrs[0]
-				if advertise, err = f.network.add(string(u.ID), u.Addr); err != nil {
+				if advertise, err = f.network.addLink(string(u.ID), u.Addr); err != nil {
 					return err
 				}
 			}
-			how := f.upstreamSpec(s, u, i, advertise)
-			f.upstreamSpecs[u.ID] = how
-			p, err := f.run(how)
+			spec := f.upstreamSpec(s, u, i, advertise)
+			f.upstreamSpecs[u.ID] = spec
+			p, err := f.startProcess(spec)
 			if err != nil {
 				return err
 			}
@@ -256,10 +260,10 @@
 	return nil
 }
 
-func (f *Fleet) upstreamSpec(s Service, u Upstream, index int, advertise string) spec {
-	cold := s.Cold
+func (f *Fleet) upstreamSpec(s Service, u Upstream, index int, advertise string) processSpec {
+	cold := s.ColdSlots
 	if f.Kind == Direct {
-		cold = s.Slots // nobody paces direct callers while upstreams warm
+		cold = s.Slots // without a router, nothing limits the load on upstreams that warm up
 	}
 	args := []string{
 		"upstream", "--name", string(u.ID), "--service", string(u.Service), "--zone", string(u.Zone),
@@ -281,7 +285,7 @@
 	if advertise != "" {
 		args = append(args, "--listen", u.Addr, "--advertise", advertise)
 	}
-	return spec{name: string(u.ID), path: f.Binaries.Standin, args: args}
+	return processSpec{name: string(u.ID), path: f.Binaries.Standin, args: args}
 }
 
 func (f *Fleet) fencing() catalogue.Fencing {
@@ -294,13 +298,14 @@
 	return catalogue.FencingNone
 }
 
-// RestartUpstream starts an upstream that has ended again. It is cold.
+// RestartUpstream starts an upstream again after its process has exited. The new
+// process is cold: its caches are empty.
 func (f *Fleet) RestartUpstream(ctx context.Context, id fleet.UpstreamID) error {
 	s, ok := f.upstreamSpecs[id]
 	if !ok {
 		return errors.Errorf("no upstream %q", id)
 	}
-	addr, err := f.listen(ctx, s)
+	addr, err := f.startAndAwaitAddr(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -314,7 +319,7 @@
 	return nil
 }
 
-// PID returns the process id of a process, or 0.
+// PID returns the process id of the process with this name, or 0 if there is none.
 func (f *Fleet) PID(name string) int {
 	if p := f.Process(name); p != nil {
 		return p.cmd.Process.Pid
@@ -322,7 +327,8 @@
 	return 0
 }
 
-// Process returns a process by the name of its instance or upstream, or nil.
+// Process returns the process of the instance, upstream or other part of the fleet
+// with this name, or nil if there is none.
 func (f *Fleet) Process(name string) *Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -337,9 +343,9 @@
 	return p, p.signal(s)
 }
 
-// Kill ends a process with SIGKILL and waits until it is gone. The loss of an
-// upstream is recorded as an event, and the platform's list drops the process
-// after its lag.
+// Kill sends SIGKILL to a process, waits until it has exited, and removes it from
+// the platform's instance list, which shows the removal after its lag. The loss of
+// an upstream is recorded as an event.
 func (f *Fleet) Kill(ctx context.Context, name string) error {
 	at := time.Now()
 	p, err := f.signal(name, syscall.SIGKILL)
@@ -348,29 +354,29 @@
 	}
 	for _, u := range f.Upstreams {
 		if string(u.ID) == name {
-			f.event(report.Event{At: at, Kind: report.UpstreamLost, Name: name})
+			f.recordEvent(report.Event{At: at, Kind: report.UpstreamLost, Name: name})
 		}
 	}
 	if !p.wait(termTimeout) {
-		return errors.Errorf("%s did not end after SIGKILL", name)
+		return errors.Errorf("%s did not exit after SIGKILL", name)
 	}
-	return f.unlist(ctx, name)
+	return f.deregister(ctx, name)
 }
 
-// Terminate asks a process to end with SIGTERM, waits until it has, and drops it
-// from the platform's list.
+// Terminate sends SIGTERM to a process, waits until it has exited, and removes it
+// from the platform's instance list.
 func (f *Fleet) Terminate(ctx context.Context, name string, within time.Duration) error {
 	p, err := f.signal(name, syscall.SIGTERM)
 	if err != nil {
 		return err
 	}
 	if !p.wait(within) {
-		return errors.Errorf("%s did not end within %s of SIGTERM", name, within)
+		return errors.Errorf("%s did not exit within %s of SIGTERM", name, within)
 	}
-	return f.unlist(ctx, name)
+	return f.deregister(ctx, name)
 }
 
-// Pause stops a process with SIGSTOP.
+// Pause suspends a process with SIGSTOP.
 func (f *Fleet) Pause(name string) error {
 	p, err := f.signal(name, syscall.SIGSTOP)
 	if err == nil {
@@ -379,7 +385,7 @@
 	return err
 }
 
-// Resume continues a paused process.
+// Resume continues a suspended process with SIGCONT.
 func (f *Fleet) Resume(name string) error {
 	p, err := f.signal(name, syscall.SIGCONT)
 	if err == nil {
@@ -394,15 +400,16 @@
 	p.paused = v
 }
 
-func (f *Fleet) event(e report.Event) {
+func (f *Fleet) recordEvent(e report.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, e)
 }
 
-// Close ends every process, in the reverse order of their start: with SIGTERM, so
-// that histories are complete, then with SIGKILL. Instances write no histories and
-// get SIGKILL at once.
+// Close ends every process: first the load generators, then the instances, then the
+// store and the upstreams. Instances write no histories and get SIGKILL at once. The
+// other processes get SIGTERM, so that their histories are complete, and SIGKILL
+// after a timeout.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if f.closed {
@@ -410,22 +417,23 @@
 		return
 	}
 	f.closed = true
-	order := f.order
+	startOrder := f.startOrder
 	f.mu.Unlock()
-	for n, group := range f.groups(order) {
+	for groupIndex, group := range f.shutdownGroups(startOrder) {
 		for _, p := range group {
 			_ = p.signal(syscall.SIGCONT)
-			if n == instanceGroup {
-				// Without load nothing is cut. Instances that all drain at once have
-				// nobody to hand their roles to and would wait for their timeout.
+			if groupIndex == instanceGroup {
+				// The load has ended, so no request is lost. Instances that all
+				// drain at the same time have no successor for their roles and would
+				// wait until their drain timeout.
 				_ = p.signal(syscall.SIGKILL)
 			} else {
 				_ = p.signal(syscall.SIGTERM)
 			}
 		}
-		limit := time.Now().Add(termTimeout)
+		deadline := time.Now().Add(termTimeout)
 		for _, p := range group {
-			if !p.wait(time.Until(limit)) {
+			if !p.wait(time.Until(deadline)) {
 				_ = p.signal(syscall.SIGKILL)
 				<-p.done
 			}
@@ -437,25 +445,26 @@
 	}
 }
 
-// instanceGroup is the index of the instances in groups.
+// instanceGroup is the index of the instances in the result of shutdownGroups.
 const instanceGroup = 1
 
-// groups splits the processes into those that end together: load, instances,
-// and what they depend on.
-func (f *Fleet) groups(order []*Process) [3][]*Process {
-	instances, behind := make(map[string]bool), map[string]bool{storeName: true}
+// shutdownGroups divides the processes into groups that are ended one after the
+// other: load generators, instances, and the store and upstreams that these depend
+// on.
+func (f *Fleet) shutdownGroups(order []*Process) [3][]*Process {
+	instances, dependencies := make(map[string]bool), map[string]bool{storeName: true}
 	for _, i := range f.Instances {
 		instances[string(i.ID)] = true
 	}
 	for _, u := range f.Upstreams {
-		behind[string(u.ID)] = true
+		dependencies[string(u.ID)] = true
 	}
 	var out [3][]*Process
 	for _, p := range order {
 		switch {
 		case instances[p.Name]:
 			out[instanceGroup] = append(out[instanceGroup], p)
-		case behind[p.Name]:
+		case dependencies[p.Name]:
 			out[2] = append(out[2], p)
 		default:
 			out[0] = append(out[0], p)
@@ -464,12 +473,14 @@
 	return out
 }
 
-// Operator returns a client of an instance's operator API. The caller closes it.
+// Operator returns a client for the operator API of an instance. The caller must
+// close it.
 func (f *Fleet) Operator(i Instance) *operator.Client {
 	return operator.NewClient(f.client, i.Operator, OperatorToken)
 }
 
-// Targets returns where callers send their requests.
+// Targets returns the addresses to which callers send their requests: those of the
+// instances, or of the upstreams for Direct.
 func (f *Fleet) Targets() (out []load.Target) {
 	if f.Kind == Direct {
 		for _, u := range f.Upstreams {
--- a/internal/standin/lab/instances.go
+++ b/internal/standin/lab/instances.go
@@ -23,7 +23,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// operatorName is recorded as who makes the lab's changes.
+// operatorName is the operator's name that is recorded with the lab's changes.
 const operatorName = "lab"
 
 func (f *Fleet) startInstances(ctx context.Context) error {
@@ -31,18 +31,18 @@
 		return nil
 	}
 	const listeners = 4
-	addrs, err := freeAddrs(listeners * f.Shape.Instances)
+	allAddrs, err := freeAddrs(listeners * f.Shape.Instances)
 	if err != nil {
 		return err
 	}
 	for n := range f.Shape.Instances {
-		a := addrs[listeners*n:]
+		listenAddrs := allAddrs[listeners*n:]
 		f.Instances = append(f.Instances, Instance{
-			ID: InstanceID(n + 1), Zone: f.Shape.Zone(n), Caller: a[0], Peer: a[1], Forward: a[2], Operator: a[3],
+			ID: InstanceID(n + 1), Zone: f.Shape.Zone(n), Caller: listenAddrs[0], PeerAddr: listenAddrs[1], ForwardAddr: listenAddrs[2], Operator: listenAddrs[3],
 		})
 	}
 	if f.network != nil {
-		if err := f.network.addInstances(); err != nil {
+		if err := f.network.addStoreAndInstances(); err != nil {
 			return err
 		}
 	}
@@ -59,47 +59,47 @@
 	return nil
 }
 
-// StartInstance starts the process of an instance, for the first time or after
-// its end, and registers it in the platform's list.
+// StartInstance starts the process of an instance, for the first time or after it
+// has exited, and registers it in the platform's instance list.
 func (f *Fleet) StartInstance(ctx context.Context, i Instance) error {
 	s := f.instanceSpec(i)
 	if f.Kind == Baseline {
 		s = f.baselineSpec(i)
 	}
-	if _, err := f.run(s); err != nil {
+	if _, err := f.startProcess(s); err != nil {
 		return err
 	}
-	return f.list(ctx, platform.Listed{
-		Name: string(i.ID), Kind: platform.KindInstance, Address: i.Peer, Zone: i.Zone, State: platform.StateLive,
+	return f.register(ctx, platform.Listed{
+		Name: string(i.ID), Kind: platform.KindInstance, Address: i.PeerAddr, Zone: i.Zone, State: platform.StateLive,
 	})
 }
 
-func (f *Fleet) instanceSpec(i Instance) spec {
+func (f *Fleet) instanceSpec(i Instance) processSpec {
 	var seeds []string
 	for _, o := range f.Instances {
 		if o.ID != i.ID {
-			seeds = append(seeds, o.Peer)
+			seeds = append(seeds, o.PeerAddr)
 		}
 	}
 	store, list := f.StoreAddr, f.StoreAddr
-	var through [][2]string
+	var advertised [][2]string
 	if f.network != nil {
-		store = f.network.addr(storeName)
-		through = [][2]string{
-			{"advertise-peer", f.network.addr(peerLink(i.ID))},
-			{"advertise-forward", f.network.addr(forwardLink(i.ID))},
+		store = f.network.linkAddr(storeName)
+		advertised = [][2]string{
+			{"advertise-peer", f.network.linkAddr(peerLink(i.ID))},
+			{"advertise-forward", f.network.linkAddr(forwardLink(i.ID))},
 		}
 		for n := range seeds {
-			seeds[n] = f.network.relayed(seeds[n])
+			seeds[n] = f.network.relayAddr(seeds[n])
 		}
 	}
 	env := []string{settings.EnvFleetSecret + "=" + fleetSecret, settings.EnvOperatorToken + "=" + OperatorToken}
-	for _, s := range append(through, [][2]string{
+	for _, s := range append(advertised, [][2]string{
 		{"instance", string(i.ID)},
 		{"zone", string(i.Zone)},
 		{"caller-listen", i.Caller},
-		{"peer-listen", i.Peer},
-		{"forward-listen", i.Forward},
+		{"peer-listen", i.PeerAddr},
+		{"forward-listen", i.ForwardAddr},
 		{"operator-listen", i.Operator},
 		{"store", store},
 		{"list", list},
@@ -107,11 +107,11 @@
 	}...) {
 		env = append(env, settings.Env(s[0])+"="+s[1])
 	}
-	return spec{name: string(i.ID), path: f.Binaries.Proxy, args: []string{"serve"}, env: env}
+	return processSpec{name: string(i.ID), path: f.Binaries.Proxy, args: []string{"serve"}, env: env}
 }
 
-func (f *Fleet) baselineSpec(i Instance) spec {
-	return spec{name: string(i.ID), path: f.Binaries.Standin, args: []string{
+func (f *Fleet) baselineSpec(i Instance) processSpec {
+	return processSpec{name: string(i.ID), path: f.Binaries.Standin, args: []string{
 		"baseline", "--name", string(i.ID), "--zone", string(i.Zone), "--listen", i.Caller, "--list", f.StoreAddr,
 		"--catalogue", f.catalogueFile(), "--instances", strconv.Itoa(f.Shape.Instances),
 	}}
@@ -119,7 +119,8 @@
 
 func (f *Fleet) catalogueFile() string { return filepath.Join(f.Dir, "catalogue.yaml") }
 
-// writeCatalogue replaces the file that the instances of a baseline read.
+// writeCatalogue atomically replaces the catalogue file that the instances of a
+// baseline read.
 func (f *Fleet) writeCatalogue(c *catalogue.Catalogue) error {
 	next := f.catalogueFile() + ".next"
 	if err := os.WriteFile(next, c.Format(), 0o644); err != nil {
@@ -128,8 +129,8 @@
 	return os.Rename(next, f.catalogueFile())
 }
 
-// list registers a process in the platform's list.
-func (f *Fleet) list(ctx context.Context, l platform.Listed) error {
+// register adds or replaces a process in the platform's instance list.
+func (f *Fleet) register(ctx context.Context, l platform.Listed) error {
 	var e jx.Encoder
 	platform.EncodeListed(&e, l)
 	return f.callStore(ctx, &http1.Request{
@@ -137,26 +138,26 @@
 	})
 }
 
-// unlist removes a process from the platform's list.
-func (f *Fleet) unlist(ctx context.Context, name string) error {
+// deregister removes a process from the platform's instance list.
+func (f *Fleet) deregister(ctx context.Context, name string) error {
 	if f.StoreAddr == "" || name == storeName {
 		return nil
 	}
 	return f.callStore(ctx, &http1.Request{Method: http.MethodDelete, Target: "/v1/instances?name=" + url.QueryEscape(name)})
 }
 
-// StoreFault injects a fault into the store. The query is described in package
-// store.
+// StoreFault injects a fault into the store. For the query, see the comment of
+// package store.
 func (f *Fleet) StoreFault(ctx context.Context, query string) error {
 	return f.callStore(ctx, &http1.Request{Method: http.MethodPost, Target: "/faults?" + query})
 }
 
-func (f *Fleet) callStore(ctx context.Context, r *http1.Request) error {
-	return f.call(ctx, f.StoreAddr, r)
+func (f *Fleet) callStore(ctx context.Context, req *http1.Request) error {
+	return f.call(ctx, f.StoreAddr, req)
 }
 
-// UpstreamFault injects a fault into an upstream. The query is described in
-// package upstream.
+// UpstreamFault injects a fault into an upstream. The query holds the mode and the
+// times of the fault in the syntax of the upstream's /faults endpoint.
 func (f *Fleet) UpstreamFault(ctx context.Context, id fleet.UpstreamID, query string) error {
 	for _, u := range f.Upstreams {
 		if u.ID == id {
@@ -166,51 +167,51 @@
 	return errors.Errorf("no upstream %q", id)
 }
 
-func (f *Fleet) call(ctx context.Context, addr string, r *http1.Request) error {
+func (f *Fleet) call(ctx context.Context, addr string, req *http1.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	p := f.client.NewPool(addr, http1.PoolConfig{})
-	defer p.Close()
-	res, err := p.Do(ctx, r)
+	pool := f.client.NewPool(addr, http1.PoolConfig{})
+	defer pool.Close()
+	res, err := pool.Do(ctx, req)
 	if err != nil {
-		return errors.Wrapf(err, "%s %s", r.Method, r.Target)
+		return errors.Wrapf(err, "%s %s", req.Method, req.Target)
 	}
 	if res.Status >= http.StatusBadRequest {
-		return errors.Errorf("%s %s: status %d: %s", r.Method, r.Target, res.Status, res.Body)
+		return errors.Errorf("%s %s: status %d: %s", req.Method, req.Target, res.Status, res.Body)
 	}
 	return nil
 }
 
-// until calls f until it returns nil, and returns its last error if that takes
-// longer than limit.
-func until(ctx context.Context, limit time.Duration, what string, f func(context.Context) error) error {
+// pollUntil calls check periodically until it returns nil. If that takes longer than
+// limit, pollUntil returns the last error from check.
+func pollUntil(ctx context.Context, limit time.Duration, condition string, check func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	last := errors.New("not tried")
+	lastErr := errors.New("the condition was not checked")
 	for {
-		err := f(ctx)
+		err := check(ctx)
 		if err == nil {
 			return nil
 		}
 		if ctx.Err() == nil {
-			last = err
+			lastErr = err
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(last, "wait until %s (%v)", what, ctx.Err())
+			return errors.Wrapf(lastErr, "wait until %s (%v)", condition, ctx.Err())
 		case <-tick.C:
 		}
 	}
 }
 
-// configure stores the catalogue and waits until it is in force.
+// configure stores the catalogue of a router fleet and waits until it is in force.
 func (f *Fleet) configure(ctx context.Context) error {
 	if f.Kind != Router {
 		return nil
 	}
-	if _, err := f.Edit(ctx, func(c *catalogue.Catalogue) {
+	if _, err := f.EditCatalogue(ctx, func(c *catalogue.Catalogue) {
 		*c = *f.Shape.Catalogue(f.Rate, f.fencing())
 	}); err != nil {
 		return errors.Wrap(err, "apply the catalogue")
@@ -218,15 +219,15 @@
 	return nil
 }
 
-// Edit changes the catalogue through the operator API of any instance that
-// answers, and returns when the change was in force.
-func (f *Fleet) Edit(ctx context.Context, change func(c *catalogue.Catalogue)) (time.Time, error) {
+// EditCatalogue changes the catalogue through the operator API of the first instance
+// that answers, and returns the time at which the change was in force.
+func (f *Fleet) EditCatalogue(ctx context.Context, change func(c *catalogue.Catalogue)) (time.Time, error) {
 	var at time.Time
-	tries := 0
-	err := until(ctx, readyTimeout, "the edit is in force", func(ctx context.Context) error {
-		c := f.Operator(f.Instances[tries%len(f.Instances)])
+	attempts := 0
+	err := pollUntil(ctx, readyTimeout, "the catalogue change is in force", func(ctx context.Context) error {
+		c := f.Operator(f.Instances[attempts%len(f.Instances)])
 		defer c.Close()
-		tries++
+		attempts++
 		cat, base, err := c.Catalogue(ctx)
 		if err != nil {
 			return err
@@ -236,9 +237,9 @@
 		if err != nil {
 			return err
 		}
-		p, err := operator.WaitInForce(ctx, c, rev, pollEvery)
+		p, err := operator.WaitInForce(ctx, c, rev, pollInterval)
 		if err == nil && !p.InForce {
-			err = errors.Errorf("revision %d is not in force: learned by %d of %d", rev, p.Learned, p.Members)
+			err = errors.Errorf("catalogue revision %d is not in force: %d of %d instances have learned it", rev, p.Learned, p.Members)
 		}
 		at = time.Now()
 		if !p.Since.IsZero() {
@@ -249,9 +250,10 @@
 	return at, err
 }
 
-// ZoneOut takes a zone out of service and returns when that was in force.
+// ZoneOut takes a zone out of service, waits until the change is in force, and
+// records an event with that time.
 func (f *Fleet) ZoneOut(ctx context.Context, zone fleet.ZoneID) error {
-	at, err := f.editZone(ctx, func(c *catalogue.Catalogue) {
+	at, err := f.editCatalogue(ctx, func(c *catalogue.Catalogue) {
 		if _, out := c.Out(catalogue.OutageZone, string(zone)); !out {
 			c.OutOfService = append(c.OutOfService, catalogue.Outage{
 				Kind: catalogue.OutageZone, Name: string(zone), By: operatorName, At: time.Now().UTC().Truncate(time.Millisecond),
@@ -259,15 +261,16 @@
 		}
 	})
 	if err == nil {
-		f.event(report.Event{At: at, Kind: report.ZoneOut, Name: string(zone)})
+		f.recordEvent(report.Event{At: at, Kind: report.ZoneOut, Name: string(zone)})
 	}
 	return err
 }
 
-// ZoneIn returns a zone to service.
+// ZoneIn puts a zone back into service and records an event with the time of the
+// order.
 func (f *Fleet) ZoneIn(ctx context.Context, zone fleet.ZoneID) error {
-	f.event(report.Event{At: time.Now(), Kind: report.ZoneIn, Name: string(zone)})
-	_, err := f.editZone(ctx, func(c *catalogue.Catalogue) {
+	f.recordEvent(report.Event{At: time.Now(), Kind: report.ZoneIn, Name: string(zone)})
+	_, err := f.editCatalogue(ctx, func(c *catalogue.Catalogue) {
 		var rest []catalogue.Outage
 		for _, o := range c.OutOfService {
 			if o.Kind != catalogue.OutageZone || o.Name != string(zone) {
@@ -279,10 +282,11 @@
 	return err
 }
 
-// editZone changes the catalogue of a router or the file of a baseline.
-func (f *Fleet) editZone(ctx context.Context, change func(c *catalogue.Catalogue)) (time.Time, error) {
+// editCatalogue changes the catalogue: through the operator API for a router, in the
+// catalogue file for a baseline. It returns the time of the change.
+func (f *Fleet) editCatalogue(ctx context.Context, change func(c *catalogue.Catalogue)) (time.Time, error) {
 	if f.Kind == Router {
-		return f.Edit(ctx, change)
+		return f.EditCatalogue(ctx, change)
 	}
 	data, err := os.ReadFile(f.catalogueFile())
 	if err != nil {
@@ -296,35 +300,35 @@
 	return time.Now(), f.writeCatalogue(c)
 }
 
-// waitReady waits until every instance sees the whole fleet and is ready, and
-// until keys of every service are served, and some through every instance. It tries one
-// key at a time, since upstreams are cold.
+// waitReady waits until every instance knows all members and upstreams, is ready, and
+// serves requests: the first instance for several keys of every service, the others
+// for one key. It sends one request at a time, because the upstreams are still cold.
 func (f *Fleet) waitReady(ctx context.Context) error {
 	for n, i := range f.Instances {
 		services, keys := f.Shape.Services[:1], 1
 		if n == 0 {
-			services, keys = f.Shape.Services, probeKeys
+			services, keys = f.Shape.Services, probeKeysPerService
 		}
 		if f.Kind == Router {
-			err := until(ctx, readyTimeout, string(i.ID)+" sees the whole fleet", func(ctx context.Context) error { return f.complete(ctx, i) })
+			err := pollUntil(ctx, readyTimeout, string(i.ID)+" knows all instances and upstreams", func(ctx context.Context) error { return f.checkMembership(ctx, i) })
 			if err != nil {
 				return err
 			}
 		}
-		p := f.client.NewPool(i.Caller, http1.PoolConfig{})
-		err := until(ctx, readyTimeout, string(i.ID)+" is ready", func(ctx context.Context) error {
-			if f.Process(string(i.ID)).ended() {
-				return errors.Errorf("%s has ended; see its log", i.ID)
+		pool := f.client.NewPool(i.Caller, http1.PoolConfig{})
+		err := pollUntil(ctx, readyTimeout, string(i.ID)+" is ready", func(ctx context.Context) error {
+			if f.Process(string(i.ID)).exited() {
+				return errors.Errorf("%s has exited; see its log", i.ID)
 			}
-			if !load.Ready(ctx, p) {
-				return errors.New("the readiness check fails")
+			if !load.Ready(ctx, pool) {
+				return errors.New("the readiness check failed")
 			}
 			return nil
 		})
 		if err == nil {
-			err = until(ctx, readyTimeout, "keys are served through "+string(i.ID), func(ctx context.Context) error { return f.probe(ctx, p, services, keys) })
+			err = pollUntil(ctx, readyTimeout, "keys are served through "+string(i.ID), func(ctx context.Context) error { return f.requestKeys(ctx, pool, services, keys) })
 		}
-		p.Close()
+		pool.Close()
 		if err != nil {
 			return err
 		}
@@ -332,8 +336,9 @@
 	return nil
 }
 
-// complete reports what an instance does not know yet.
-func (f *Fleet) complete(ctx context.Context, i Instance) error {
+// checkMembership returns an error if an instance does not know all instances and
+// upstreams yet, or if an upstream is not live or has no dispatcher.
+func (f *Fleet) checkMembership(ctx context.Context, i Instance) error {
 	c := f.Operator(i)
 	defer c.Close()
 	s, err := c.Status(ctx)
@@ -341,7 +346,7 @@
 		return err
 	}
 	if len(s.Members) != len(f.Instances) || len(s.Upstreams) != len(f.Upstreams) {
-		return errors.Errorf("it knows %d of %d instances and %d of %d upstreams",
+		return errors.Errorf("the instance knows %d of %d instances and %d of %d upstreams",
 			len(s.Members), len(f.Instances), len(s.Upstreams), len(f.Upstreams))
 	}
 	for _, u := range s.Upstreams {
@@ -352,15 +357,16 @@
 	return nil
 }
 
-// probeKeys is how many keys of each service must be served by the first instance.
-const probeKeys = 4
+// probeKeysPerService is the number of keys of each service that waitReady requests
+// through the first instance.
+const probeKeysPerService = 4
 
-func (f *Fleet) probe(ctx context.Context, p *http1.Pool, services []Service, keys int) error {
+func (f *Fleet) requestKeys(ctx context.Context, pool *http1.Pool, services []Service, keys int) error {
 	for _, s := range services {
 		for k := range keys {
 			h := http.Header{"Authorization": {"Bearer " + string(CallerKey(f.Shape.Accounts[0].ID))}}
 			h.Set(fleet.HeaderDeadline, "1000")
-			res, err := p.Do(ctx, &http1.Request{Method: http.MethodGet, Target: s.Prefix() + "k" + strconv.Itoa(k), Header: h})
+			res, err := pool.Do(ctx, &http1.Request{Method: http.MethodGet, Target: s.Prefix() + "k" + strconv.Itoa(k), Header: h})
 			if err != nil {
 				return err
 			}
--- a/internal/standin/lab/lab_test.go
+++ b/internal/standin/lab/lab_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestFleet guards against processes that outlive the lab, signals to the wrong
-// process, and runs that the report cannot read.
+// process, and run directories that package report cannot read.
 func TestFleet(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
@@ -42,12 +42,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The load is in progress when the first execution is in a history.
+	// The load is in progress once the upstream's history holds an execution.
 	victim, paused := f.Upstreams[0].ID, string(f.Upstreams[1].ID)
-	if err := until(ctx, startTimeout, "the upstream gets load", func(context.Context) error {
+	if err := pollUntil(ctx, startTimeout, "the upstream runs a request", func(context.Context) error {
 		info, err := os.Stat(filepath.Join(f.Dir, "upstream-"+string(victim)+".jsonl"))
 		if err == nil && info.Size() == 0 {
-			err = errors.New("its history is empty")
+			err = errors.New("the upstream's history is empty")
 		}
 		return err
 	}); err != nil {
@@ -73,9 +73,9 @@
 		t.Fatal(err)
 	}
 	f.Close() // also ends the paused process
-	for _, q := range f.order {
+	for _, q := range f.startOrder {
 		if pid := q.cmd.Process.Pid; alive(pid) {
-			t.Errorf("%s (process %d) is still there", q.Name, pid)
+			t.Errorf("%s (process %d) is still running after Close", q.Name, pid)
 		}
 	}
 	h, err := report.Read(p.Dir, f.Dir)
@@ -85,23 +85,23 @@
 	if len(h.Run.Events) != 1 || h.Run.Events[0].Name != string(victim) {
 		t.Errorf("events %v, want the loss of %s", h.Run.Events, victim)
 	}
-	if _, err := f.run(spec{name: "late", path: binaries.Standin}); err == nil {
+	if _, err := f.startProcess(processSpec{name: "late", path: binaries.Standin}); err == nil {
 		t.Error("a process was started after Close")
 	}
 }
 
-// TestStartFails guards against processes that stay after a start that failed.
+// TestStartFails guards against a Start that reports success without executables.
 func TestStartFails(t *testing.T) {
 	shape, _ := FindShape("small")
 	_, err := Start(context.Background(), Options{
 		Shape: shape, Kind: Baseline, Dir: t.TempDir(), Binaries: Binaries{Proxy: "/nonexistent", Standin: "/nonexistent"}, Rate: 1,
 	})
 	if err == nil {
-		t.Fatal("a start without programs succeeded")
+		t.Fatal("Start succeeded without executables")
 	}
 }
 
-// TestShapes guards against shapes whose catalogue an instance would refuse.
+// TestShapes guards against shapes whose catalogue fails validation.
 func TestShapes(t *testing.T) {
 	for name, s := range Shapes() {
 		c := s.Catalogue(1000, catalogue.FencingChecked)
--- a/internal/standin/lab/network.go
+++ b/internal/standin/lab/network.go
@@ -10,44 +10,45 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// network is the relay between the processes of a fleet. A link is named after
-// its target; its faults can be restricted to the connections of one instance.
-type network struct {
-	fleet *Fleet
-	relay *relay.Server
-	addrs map[string]string // of the relay, by link
-	by    map[string]string // of the relay, by target address
+// relayNetwork connects the processes of a fleet through a relay. Each link is a
+// route of the relay and named after its target process. A fault on a link can be
+// restricted to the connections of one instance.
+type relayNetwork struct {
+	fleet        *Fleet
+	relay        *relay.Server
+	addrByLink   map[string]string // the relay's listen address, by link name
+	addrByTarget map[string]string // the relay's listen address, by target address
 }
 
-func newNetwork(f *Fleet) (*network, error) {
+func newRelayNetwork(f *Fleet) (*relayNetwork, error) {
 	r, err := relay.Start("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &network{fleet: f, relay: r, addrs: make(map[string]string), by: make(map[string]string)}
-	r.Identify(n.identify)
+	n := &relayNetwork{fleet: f, relay: r, addrByLink: make(map[string]string), addrByTarget: make(map[string]string)}
+	r.Identify(n.identifyInstance)
 	return n, nil
 }
 
 func peerLink(id fleet.InstanceID) string    { return "peer-" + string(id) }
 func forwardLink(id fleet.InstanceID) string { return "forward-" + string(id) }
 
-func (n *network) add(link, target string) (string, error) {
+func (n *relayNetwork) addLink(link, target string) (string, error) {
 	addr, err := n.relay.AddRoute(link, "127.0.0.1:0", target)
 	if err != nil {
 		return "", err
 	}
-	n.addrs[link], n.by[target] = addr, addr
+	n.addrByLink[link], n.addrByTarget[target] = addr, addr
 	return addr, nil
 }
 
-func (n *network) addInstances() error {
-	if _, err := n.add(storeName, n.fleet.StoreAddr); err != nil {
+func (n *relayNetwork) addStoreAndInstances() error {
+	if _, err := n.addLink(storeName, n.fleet.StoreAddr); err != nil {
 		return err
 	}
 	for _, i := range n.fleet.Instances {
-		for link, target := range map[string]string{peerLink(i.ID): i.Peer, forwardLink(i.ID): i.Forward} {
-			if _, err := n.add(link, target); err != nil {
+		for link, target := range map[string]string{peerLink(i.ID): i.PeerAddr, forwardLink(i.ID): i.ForwardAddr} {
+			if _, err := n.addLink(link, target); err != nil {
 				return err
 			}
 		}
@@ -55,12 +56,13 @@
 	return nil
 }
 
-func (n *network) addr(link string) string { return n.addrs[link] }
+func (n *relayNetwork) linkAddr(link string) string { return n.addrByLink[link] }
 
-func (n *network) relayed(target string) string { return n.by[target] }
+func (n *relayNetwork) relayAddr(target string) string { return n.addrByTarget[target] }
 
-// identify names the instance at the other end of a connection.
-func (n *network) identify(local, remote net.Addr) string {
+// identifyInstance returns the name of the instance that opened a connection to the
+// relay, or "" if it is not known. The addresses are those of the relay's end.
+func (n *relayNetwork) identifyInstance(local, remote net.Addr) string {
 	f := n.fleet
 	f.mu.Lock()
 	pids := make(map[string]int)
@@ -73,18 +75,19 @@
 	return socketOwner(local, remote, pids)
 }
 
-// Everyone stands for all processes that an instance talks to.
+// Everyone selects all instances as the source of a link, or all processes that
+// instances connect to as its target.
 const Everyone = "everyone"
 
-// links returns the links that lead to a process, the store, or everyone.
+// links returns the names of the links to a process, the store, or Everyone.
 func (f *Fleet) links(to string) (out []string) {
 	if to == Everyone {
-		for link := range f.network.addrs {
+		for link := range f.network.addrByLink {
 			out = append(out, link)
 		}
 		return out
 	}
-	for link := range f.network.addrs {
+	for link := range f.network.addrByLink {
 		if link == to || link == peerLink(fleet.InstanceID(to)) || link == forwardLink(fleet.InstanceID(to)) {
 			out = append(out, link)
 		}
@@ -92,8 +95,8 @@
 	return out
 }
 
-// LinkFault injects a fault into the links on which from calls to. Either may be
-// Everyone; to may be a list separated by commas.
+// LinkFault injects a fault into the connections of instance from to process to.
+// Either may be Everyone; to may be a list separated by commas.
 func (f *Fleet) LinkFault(from, to string, fault relay.Fault) error {
 	if f.network == nil {
 		return errors.New("the fleet has no relay")
@@ -115,5 +118,5 @@
 	return nil
 }
 
-// Heal ends all faults of links.
+// Heal ends all link faults.
 func (f *Fleet) Heal() error { return f.LinkFault(Everyone, Everyone, relay.Fault{Mode: relay.ModeOK}) }
--- a/internal/standin/lab/process.go
+++ b/internal/standin/lab/process.go
@@ -14,34 +14,34 @@
 	"github.com/go-faster/errors"
 )
 
-// Process is a process that the lab has started.
+// Process is a child process that the lab has started.
 type Process struct {
 	Name string
 
-	cmd       *exec.Cmd
-	log       string        // file
-	listening chan string   // the address that it prints
-	done      chan struct{} // closed when it has ended
-	err       error         // how it ended; read after done
+	cmd        *exec.Cmd
+	logFile    string        // path of the file with standard output and standard error
+	listenAddr chan string   // receives the listen address that the process prints
+	done       chan struct{} // closed when the process has exited
+	exitErr    error         // result of cmd.Wait; valid once done is closed
 
 	mu     sync.Mutex
-	output strings.Builder // standard output
+	output strings.Builder // copy of the standard output
 	paused bool
 }
 
-// spec says what to start.
-type spec struct {
+// processSpec describes a process to start.
+type processSpec struct {
 	name string
 	path string
 	args []string
 	env  []string
 }
 
-// maxLine bounds a line of output.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line of output.
+const maxLineBytes = 1 << 20
 
-// start starts a process whose output goes to NAME.log in dir.
-func start(dir string, s spec) (*Process, error) {
+// execProcess starts a process and appends its output to the file NAME.log in dir.
+func execProcess(dir string, s processSpec) (*Process, error) {
 	file := filepath.Join(dir, s.name+".log")
 	log, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -60,33 +60,35 @@
 		_ = log.Close()
 		return nil, errors.Wrapf(err, "start %s", s.name)
 	}
-	p := &Process{Name: s.name, cmd: cmd, log: file, listening: make(chan string, 1), done: make(chan struct{})}
-	go p.follow(stdout, log)
+	p := &Process{Name: s.name, cmd: cmd, logFile: file, listenAddr: make(chan string, 1), done: make(chan struct{})}
+	go p.copyOutput(stdout, log)
 	return p, nil
 }
 
-// follow copies the output until the process has ended.
-func (p *Process) follow(stdout io.Reader, log *os.File) {
+// copyOutput copies the standard output to the log file and p.output, and sends the
+// first listen address found in it, until the process has exited.
+func (p *Process) copyOutput(stdout io.Reader, log *os.File) {
 	defer func() { _ = log.Close() }()
 	sc := bufio.NewScanner(stdout)
-	sc.Buffer(nil, maxLine)
-	announced := false
+	sc.Buffer(nil, maxLineBytes)
+	addrSent := false
 	for sc.Scan() {
 		line := sc.Text()
 		_, _ = log.WriteString(line + "\n")
 		p.mu.Lock()
 		p.output.WriteString(line + "\n")
 		p.mu.Unlock()
-		if addr, ok := listeningAddr(line); ok && !announced {
-			announced = true
-			p.listening <- addr
+		if addr, ok := listeningAddr(line); ok && !addrSent {
+			addrSent = true
+			p.listenAddr <- addr
 		}
 	}
-	p.err = p.cmd.Wait()
+	p.exitErr = p.cmd.Wait()
 	close(p.done)
 }
 
-// listeningAddr finds the address in "listening ADDR" or "listening on ADDR ...".
+// listeningAddr returns the address in a line of the form "listening ADDR" or
+// "listening on ADDR ...".
 func listeningAddr(line string) (string, bool) {
 	words := strings.Fields(line)
 	if len(words) < 2 || words[0] != "listening" {
@@ -107,25 +109,27 @@
 	return p.output.String()
 }
 
-// shownLog bounds what logEnd returns, in bytes.
-const shownLog = 2000
+// maxLogTail is the maximum number of bytes that logTail returns.
+const maxLogTail = 2000
 
-// logEnd returns the end of the log for an error, because tests remove the file.
-func (p *Process) logEnd() string {
-	text, err := os.ReadFile(p.log)
+// logTail returns the end of the log file. Errors include it because tests remove
+// the file.
+func (p *Process) logTail() string {
+	text, err := os.ReadFile(p.logFile)
 	if err != nil {
 		return err.Error()
 	}
-	return string(text[max(0, len(text)-shownLog):])
+	return string(text[max(0, len(text)-maxLogTail):])
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err returns how the process ended, after Done.
-func (p *Process) Err() error { return p.err }
+// Err returns the error with which the process exited, or nil. It is valid only once
+// Done is closed.
+func (p *Process) Err() error { return p.exitErr }
 
-func (p *Process) ended() bool {
+func (p *Process) exited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -134,9 +138,9 @@
 	}
 }
 
-// signal sends a signal to the process, if it has not ended.
+// signal sends a signal to the process. It does nothing if the process has exited.
 func (p *Process) signal(s os.Signal) error {
-	if p.ended() {
+	if p.exited() {
 		return nil
 	}
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -145,7 +149,7 @@
 	return nil
 }
 
-// wait reports whether the process ended within d.
+// wait waits up to d and reports whether the process has exited.
 func (p *Process) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -153,6 +157,6 @@
 	case <-p.done:
 		return true
 	case <-timer.C:
-		return p.ended()
+		return p.exited()
 	}
 }
--- a/internal/standin/lab/shape.go
+++ b/internal/standin/lab/shape.go
@@ -10,67 +10,66 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Shape describes a fleet.
+// Shape describes the size of a fleet and its nominal load.
 type Shape struct {
 	Name        string
-	Zones       []fleet.ZoneID // instances and upstreams are spread over them in turn
+	Zones       []fleet.ZoneID // instances and upstreams are assigned to zones round-robin
 	Instances   int
 	Services    []Service
 	Accounts    []Account
-	CallerDelay time.Duration // between callers and instances
-	DrainTime   time.Duration // of upstreams after SIGTERM
+	CallerDelay time.Duration // network delay between callers and instances
+	DrainTime   time.Duration // time for which upstreams accept requests after SIGTERM
 }
 
-// Service is a group of upstreams with one entry of the same name.
+// Service is a service with its upstreams and one catalogue entry of the same name.
 type Service struct {
-	ID              fleet.ServiceID
-	Upstreams       int
-	Class           catalogue.Class
-	Weight          float64 // of a request in the service figure
-	Slots, Cold     int
-	ServiceTime     time.Duration // mean
-	WarmTime        time.Duration
-	Keys            int
-	Skew            float64
-	StragglePercent float64 // of the requests take StraggleTime
-	StraggleTime    time.Duration
+	ID               fleet.ServiceID
+	Upstreams        int
+	Class            catalogue.Class
+	Weight           float64 // weight of a request in the report's overall service figure
+	Slots, ColdSlots int
+	ServiceTime      time.Duration // mean, without straggling requests
+	WarmTime         time.Duration // busy time after which a cold upstream has all its slots
+	Keys             int           // number of distinct routing keys
+	Skew             float64       // exponent of the Zipf distribution of requests over keys
+	StragglePercent  float64       // percentage of requests that take StraggleTime
+	StraggleTime     time.Duration
 }
 
-// Account is a client account. Its share of the load is relative to the other
-// accounts. It sends Times what its share is, and Sticky of its requests to the
-// first instance.
+// Account is a client account and the load that it sends.
 type Account struct {
 	ID     fleet.AccountID
-	Share  float64
-	Times  float64 // 0 means 1
-	Sticky float64
+	Share  float64 // of the load, relative to the shares of the other accounts
+	Times  float64 // ratio of the rate that the account sends to its nominal rate; 0 means 1
+	Sticky float64 // fraction of its requests, from 0 to 1, that go to the first instance
 }
 
 const (
-	// limitHeadroom is the ratio of an account's limit to its nominal rate. With
-	// less, the load at half of the capacity would exceed the limits.
+	// limitHeadroom is the ratio of an account's limit to its nominal rate. With a
+	// lower ratio, load at half of the capacity would exceed the limits.
 	limitHeadroom = 2
-	// burstSeconds is the burst of a limit in seconds of its rate.
+	// burstSeconds is the burst of a limit, as the number of seconds in which the
+	// limit's rate adds up to it.
 	burstSeconds = 1
-	minBurst     = 20
+	minBurst     = 20 // requests
 
-	serviceTimeout = 5 * time.Second
-	shards         = catalogue.DefaultShards
+	serviceTimeout   = 5 * time.Second
+	shardsPerService = catalogue.DefaultShards
 )
 
-// service returns a service with the properties that all shapes share. The
-// service time puts half of the capacity at about 1,800 requests/s for 33
-// upstreams, which 10 cores bear together with the whole fleet.
+// service returns a service with the properties that all shapes share. With its
+// service time, half of the capacity of 33 upstreams is about 1,800 requests/s, a
+// load that 10 cores can sustain while they also run the whole fleet.
 func service(id string, upstreams int, class catalogue.Class, weight float64) Service {
 	return Service{
-		ID: fleet.ServiceID(id), Upstreams: upstreams, Class: class, Weight: weight, Slots: 6, Cold: 2,
+		ID: fleet.ServiceID(id), Upstreams: upstreams, Class: class, Weight: weight, Slots: 6, ColdSlots: 2,
 		ServiceTime: 55 * time.Millisecond, WarmTime: time.Second, Keys: 1000, Skew: 1.1,
 	}
 }
 
-// accounts returns 8 client accounts, 3 of them large. The last one sends three
-// times its limit; of the one before, the load balancer sends most requests to
-// one instance.
+// accounts returns 8 client accounts, 3 of them large. The last account sends three
+// times its limit. Most requests of the last but one go to a single instance, as
+// with a load balancer that uses sticky sessions.
 func accounts() []Account {
 	out := make([]Account, 0, 8)
 	for i, share := range []float64{30, 25, 18, 6, 6, 5, 5, 5} {
@@ -81,7 +80,7 @@
 	return out
 }
 
-// Shapes returns the shapes by name.
+// Shapes returns the predefined shapes by name.
 func Shapes() map[string]Shape {
 	small := service("small", 4, catalogue.Idempotent, 1)
 	small.ServiceTime, small.Keys = 10*time.Millisecond, 200
@@ -111,7 +110,7 @@
 	}
 }
 
-// FindShape returns a shape by name.
+// FindShape returns the predefined shape with this name.
 func FindShape(name string) (Shape, error) {
 	s, ok := Shapes()[name]
 	if !ok {
@@ -120,7 +119,8 @@
 	return s, nil
 }
 
-// Capacity returns the requests/s that all slots of warm upstreams serve.
+// Capacity returns the requests/s that the upstreams of all services can serve when
+// they are warm.
 func (s Shape) Capacity() float64 {
 	var sum float64
 	for _, v := range s.Services {
@@ -133,15 +133,15 @@
 	return float64(v.Upstreams*v.Slots) / v.ServiceTime.Seconds()
 }
 
-// Zone returns the zone of the instance or upstream with an index.
+// Zone returns the zone of the instance or upstream with index i, counted from 0.
 func (s Shape) Zone(i int) fleet.ZoneID { return s.Zones[i%len(s.Zones)] }
 
-// UpstreamID returns the name of an upstream of a service, counted from 1.
+// UpstreamID returns the id of the nth upstream of a service, counted from 1.
 func UpstreamID(service fleet.ServiceID, n int) fleet.UpstreamID {
 	return fleet.UpstreamID(string(service) + "-" + strconv.Itoa(n))
 }
 
-// InstanceID returns the name of an instance, counted from 1.
+// InstanceID returns the id of the nth instance, counted from 1.
 func InstanceID(n int) fleet.InstanceID {
 	id := strconv.Itoa(n)
 	if n < 10 {
@@ -150,10 +150,11 @@
 	return fleet.InstanceID("instance-" + id)
 }
 
-// Prefix returns the path below which a service's entry routes.
+// Prefix returns the path prefix of the service's entry.
 func (v Service) Prefix() string { return "/" + string(v.ID) + "/" }
 
-// callerKeyPrefix is what upstreams search their requests for.
+// callerKeyPrefix is the common prefix of all caller keys. Upstreams search their
+// requests for it to find leaked caller keys.
 const callerKeyPrefix = "caller-key-of-"
 
 // CallerKey returns the caller key of an account.
@@ -161,7 +162,7 @@
 	return fleet.CallerKey(callerKeyPrefix + string(id))
 }
 
-// Rate returns an account's nominal share of the total rate.
+// Rate returns an account's nominal rate for a total rate, both in requests/s.
 func (s Shape) Rate(a Account, total float64) float64 {
 	var sum float64
 	for _, o := range s.Accounts {
@@ -170,18 +171,19 @@
 	return total * a.Share / sum
 }
 
-// Limit returns an account's limit at a total rate.
+// Limit returns an account's limit for a nominal total rate in requests/s.
 func (s Shape) Limit(a Account, total float64) fleet.Limit {
 	rate := s.Rate(a, total) * limitHeadroom
 	return fleet.Limit{Rate: fleet.PerSecond(rate), Burst: max(minBurst, fleet.Tokens(rate*burstSeconds))}
 }
 
-// Catalogue returns the catalogue of the shape with limits for a total rate.
+// Catalogue returns the catalogue of the shape, with account limits for a nominal
+// total rate in requests/s.
 func (s Shape) Catalogue(total float64, fencing catalogue.Fencing) *catalogue.Catalogue {
 	c := &catalogue.Catalogue{}
 	for _, v := range s.Services {
 		c.Services = append(c.Services, catalogue.Service{
-			ID: v.ID, Shards: shards, Slots: fleet.Slots(v.Slots), ColdSlots: fleet.Slots(v.Cold),
+			ID: v.ID, Shards: shardsPerService, Slots: fleet.Slots(v.Slots), ColdSlots: fleet.Slots(v.ColdSlots),
 			WarmTime: v.WarmTime, Fencing: fencing, Timeout: serviceTimeout,
 		})
 		c.Entries = append(c.Entries, catalogue.Entry{
--- a/internal/standin/lab/sockets_linux.go
+++ b/internal/standin/lab/sockets_linux.go
@@ -14,38 +14,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketOwner returns the name of the process that holds the remote end of a
-// loopback connection, or "". Processes on one loopback address cannot be told
-// apart by their addresses. The kernel is asked for the one socket: /proc/net/tcp
-// lists those of the whole machine and takes milliseconds to read, for every
-// connection.
+// socketOwner returns the name of the process in pids that holds the remote end of a
+// loopback connection, or "" if none does. All processes use the same loopback
+// address, so the addresses do not identify them. It queries the kernel for the one
+// socket, because /proc/net/tcp lists all sockets of the machine and takes
+// milliseconds to read for each connection.
 func socketOwner(local, remote net.Addr, pids map[string]int) string {
 	inode, err := socketInode(remote.(*net.TCPAddr), local.(*net.TCPAddr))
 	if errors.Is(err, unix.ENOENT) {
-		return "" // closed since
+		return "" // the socket has been closed
 	}
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "find the owner of the connection from %s to %s: %v\n", remote, local, err)
+		fmt.Fprintf(os.Stderr, "find the process that owns the connection from %s to %s: %v\n", remote, local, err)
 		return ""
 	}
 	link := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
-	// A program may move a new connection to another descriptor while it is searched.
-	for range ownerSearches {
-		if name := linkOwner(link, pids); name != "" {
+	// A process may move a new connection to another descriptor during the search.
+	for range maxOwnerSearches {
+		if name := socketLinkOwner(link, pids); name != "" {
 			return name
 		}
-		time.Sleep(ownerPause)
+		time.Sleep(ownerSearchInterval)
 	}
 	return ""
 }
 
 const (
-	ownerSearches = 3
-	ownerPause    = time.Millisecond // moving a connection takes two system calls
+	maxOwnerSearches    = 3
+	ownerSearchInterval = time.Millisecond // a process moves a connection with two system calls
 )
 
-// linkOwner returns the name of the process with a descriptor that leads to link.
-func linkOwner(link string, pids map[string]int) string {
+// socketLinkOwner returns the name of the process that has a descriptor whose symbolic
+// link in /proc reads link, or "".
+func socketLinkOwner(link string, pids map[string]int) string {
 	for name, pid := range pids {
 		dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 		entries, err := os.ReadDir(dir)
@@ -61,12 +62,13 @@
 	return ""
 }
 
-// socketInode asks the kernel for the inode of an IPv4 socket. The client library's
-// own SocketGet walks the table of all sockets.
+// socketInode queries the kernel for the inode of an IPv4 TCP socket. SocketGet of the
+// netlink package is not used, because it walks the table of all sockets.
 func socketInode(local, remote *net.TCPAddr) (uint32, error) {
-	// struct inet_diag_req_v2: family, protocol, extensions, padding, states, id.
+	// The request is a struct inet_diag_req_v2: family, protocol, extensions, padding,
+	// states, socket id.
 	id := []byte{unix.AF_INET, unix.IPPROTO_TCP, 0, 0}
-	id = binary.NativeEndian.AppendUint32(id, allStates)
+	id = binary.NativeEndian.AppendUint32(id, allTCPStates)
 	id = binary.BigEndian.AppendUint16(id, uint16(local.Port))
 	id = binary.BigEndian.AppendUint16(id, uint16(remote.Port))
 	id = append(append(id, local.IP.To4()...), make([]byte, net.IPv6len-net.IPv4len)...)
@@ -81,13 +83,13 @@
 	if err != nil {
 		return 0, err
 	}
-	if len(found) != 1 || len(found[0]) < inodeEnd {
-		return 0, errors.Errorf("%d sockets from %s to %s", len(found), local, remote)
+	if len(found) != 1 || len(found[0]) < inetDiagMsgSize {
+		return 0, errors.Errorf("unexpected reply from the kernel: %d sockets from %s to %s", len(found), local, remote)
 	}
-	return binary.NativeEndian.Uint32(found[0][inodeEnd-4:]), nil
+	return binary.NativeEndian.Uint32(found[0][inetDiagMsgSize-4:]), nil
 }
 
 const (
-	allStates = 1<<32 - 1 // of connections, as a bit mask
-	inodeEnd  = 72        // size of struct inet_diag_msg, whose last field is the inode
+	allTCPStates    = 1<<32 - 1 // bit mask of all TCP connection states
+	inetDiagMsgSize = 72        // bytes of struct inet_diag_msg, whose last field is the inode
 )
--- a/internal/standin/lab/sockets_linux_test.go
+++ b/internal/standin/lab/sockets_linux_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// connect returns both ends of a new loopback connection.
-func connect(t testing.TB, ln net.Listener) (client, accepted net.Conn) {
+// connectPair returns both ends of a new loopback connection.
+func connectPair(t testing.TB, ln net.Listener) (client, accepted net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -20,7 +20,7 @@
 	return client, accepted
 }
 
-func listen(t testing.TB) net.Listener {
+func listenLoopback(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,10 +30,10 @@
 	return ln
 }
 
-// TestSocketOwner guards against faults that hit connections of other processes
-// than the one they are meant for.
+// TestSocketOwner guards against faults that affect the connections of a process
+// other than the selected one.
 func TestSocketOwner(t *testing.T) {
-	client, accepted := connect(t, listen(t))
+	client, accepted := connectPair(t, listenLoopback(t))
 	self := map[string]int{"self": os.Getpid()}
 	if got := socketOwner(accepted.LocalAddr(), accepted.RemoteAddr(), self); got != "self" {
 		t.Errorf("owner %q, want self", got)
@@ -47,13 +47,13 @@
 	}
 }
 
-// TestMovedSocketOwner guards against missed owners of connections that get another
-// descriptor while they are searched, as those of an event loop do.
+// TestMovedSocketOwner guards against not finding the owner of a connection that moves
+// to another descriptor during the search, as connections of an event loop do.
 func TestMovedSocketOwner(t *testing.T) {
-	ln := listen(t)
+	ln := listenLoopback(t)
 	self := map[string]int{"self": os.Getpid()}
 	for range 200 {
-		client, accepted := connect(t, ln)
+		client, accepted := connectPair(t, ln)
 		moved := make(chan *os.File)
 		go func() {
 			f, err := client.(*net.TCPConn).File()
@@ -70,14 +70,14 @@
 	}
 }
 
-// BenchmarkSocketOwner measures what a relay does for each connection on a machine
-// with many sockets.
+// BenchmarkSocketOwner measures the search that the relay makes for each connection,
+// on a machine with many sockets.
 func BenchmarkSocketOwner(b *testing.B) {
-	ln := listen(b)
+	ln := listenLoopback(b)
 	for range 5000 {
-		connect(b, ln)
+		connectPair(b, ln)
 	}
-	_, accepted := connect(b, ln)
+	_, accepted := connectPair(b, ln)
 	none := map[string]int{"other": os.Getppid()}
 	for b.Loop() {
 		socketOwner(accepted.LocalAddr(), accepted.RemoteAddr(), none)
--- a/internal/standin/lab/traffic.go
+++ b/internal/standin/lab/traffic.go
@@ -14,26 +14,26 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Traffic describes a phase of load.
+// Traffic configures a phase of load.
 type Traffic struct {
-	Name      string // of the directory in the fleet's directory
-	Rate      float64
+	Name      string  // name of the phase's directory within the fleet's directory
+	Rate      float64 // nominal total of all accounts, in requests/s
 	Duration  time.Duration
-	HotChange time.Duration
-	Steady    bool // no account sends more than its share
+	HotChange time.Duration // interval at which the load generator changes the hot keys
+	Steady    bool          // every account sends exactly its nominal rate
 }
 
-// Phase is a phase of load that has been started.
+// Phase is a started phase of load with its load generator's process.
 type Phase struct {
 	*Process
 
-	Dir   string
-	fleet *Fleet
-	first int // events before the phase
+	Dir        string
+	fleet      *Fleet
+	firstEvent int // index in fleet.events of the first event of the phase
 }
 
-// StartLoad starts a load generator as a process. Requests are divided over the
-// services by their capacity.
+// StartLoad starts the process of a load generator. It sends requests to the services
+// in proportion to their capacity.
 func (f *Fleet) StartLoad(t Traffic) (*Phase, error) {
 	dir := filepath.Join(f.Dir, t.Name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -47,18 +47,18 @@
 	if f.Kind == Direct {
 		args = append(args, "--direct", "--health", "0s")
 	}
-	for _, x := range f.Targets() {
-		args = append(args, "--target", x.Format())
+	for _, target := range f.Targets() {
+		args = append(args, "--target", target.Format())
 	}
 	for _, a := range f.Shape.Accounts {
-		source := load.Account{ID: a.ID, Key: CallerKey(a.ID), Rate: f.Shape.Rate(a, t.Rate)}
+		account := load.Account{ID: a.ID, Key: CallerKey(a.ID), Rate: f.Shape.Rate(a, t.Rate)}
 		if !t.Steady {
-			source.Times = a.Times
+			account.Times = a.Times
 		}
 		if a.Sticky > 0 && f.Kind != Direct {
-			source.Target, source.Share = string(f.Instances[0].ID), a.Sticky
+			account.Target, account.Share = string(f.Instances[0].ID), a.Sticky
 		}
-		args = append(args, "--account", source.Format())
+		args = append(args, "--account", account.Format())
 	}
 	for _, s := range f.Shape.Services {
 		e := load.Entry{
@@ -68,28 +68,30 @@
 		args = append(args, "--entry", e.Format())
 	}
 	f.mu.Lock()
-	first := len(f.events)
+	firstEvent := len(f.events)
 	f.mu.Unlock()
-	p, err := f.run(spec{name: "load-" + t.Name, path: f.Binaries.Standin, args: args})
+	p, err := f.startProcess(processSpec{name: "load-" + t.Name, path: f.Binaries.Standin, args: args})
 	if err != nil {
 		return nil, err
 	}
-	return &Phase{Process: p, Dir: dir, fleet: f, first: first}, nil
+	return &Phase{Process: p, Dir: dir, fleet: f, firstEvent: firstEvent}, nil
 }
 
-// Finish waits for the end of the load and writes the description of the phase.
+// Finish waits until the load generator has exited and writes the description of the
+// phase for the report.
 func (p *Phase) Finish(name string, within time.Duration) error {
 	if !p.wait(within) {
-		return errors.Errorf("%s did not end within %s", p.Name, within)
+		return errors.Errorf("%s did not exit within %s", p.Name, within)
 	}
-	if p.err != nil {
-		return errors.Wrap(p.err, p.Name)
+	if p.exitErr != nil {
+		return errors.Wrap(p.exitErr, p.Name)
 	}
-	return p.fleet.describe(name, p.first).Write(p.Dir)
+	return p.fleet.reportRun(name, p.firstEvent).Write(p.Dir)
 }
 
-// describe returns what a report needs to know about the fleet.
-func (f *Fleet) describe(name string, firstEvent int) report.Run {
+// reportRun returns the description of the fleet and the events from firstEvent on
+// that a report needs.
+func (f *Fleet) reportRun(name string, firstEvent int) report.Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := report.Run{Name: name, Events: f.events[firstEvent:]}
@@ -110,8 +112,8 @@
 	return r
 }
 
-// Stop ends the load, waits until its last request was answered and writes the
-// description of the phase.
+// Stop ends the load, waits until the last request has been answered, and writes the
+// description of the phase for the report.
 func (p *Phase) Stop(name string, within time.Duration) error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
