--- a/internal/standin/relay/handler.go
+++ b/internal/standin/relay/handler.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/jx"
 )
 
-// endOrError returns nil for the end of a stream.
-func endOrError(err error) error {
+// ignoreEOF returns nil if err is io.EOF, and err otherwise.
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
@@ -39,7 +39,7 @@
 			}
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(status)
-			_, _ = w.Write(e.Bytes()) // the caller may have gone
+			_, _ = w.Write(e.Bytes()) // the client may have closed the connection
 		})
 	}
 	return mux
@@ -49,7 +49,7 @@
 	switch {
 	case errors.Is(err, errNoRoute):
 		return http.StatusNotFound
-	case errors.Is(err, errExists):
+	case errors.Is(err, errRouteExists):
 		return http.StatusConflict
 	default:
 		return http.StatusBadRequest
@@ -110,10 +110,10 @@
 func (r *route) encode(e *jx.Encoder, name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var up, down int64 // of the connections open now
+	var toTarget, toClient int64 // bytes forwarded on the open connections
 	for c := range r.conns {
-		up += c.up.written.Load()
-		down += c.down.written.Load()
+		toTarget += c.toTarget.writtenBytes.Load()
+		toClient += c.toClient.writtenBytes.Load()
 	}
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("name", func(e *jx.Encoder) { e.Str(name) })
@@ -123,19 +123,19 @@
 		e.Field("to-target", func(e *jx.Encoder) { e.Str(r.toTarget.String()) })
 		e.Field("to-client", func(e *jx.Encoder) { e.Str(r.toClient.String()) })
 		e.Field("connections", func(e *jx.Encoder) { e.Int(len(r.conns)) })
-		e.Field("bytes-to-target", func(e *jx.Encoder) { e.Int64(up) })
-		e.Field("bytes-to-client", func(e *jx.Encoder) { e.Int64(down) })
+		e.Field("bytes-to-target", func(e *jx.Encoder) { e.Int64(toTarget) })
+		e.Field("bytes-to-client", func(e *jx.Encoder) { e.Int64(toClient) })
 	})
 }
 
-// String returns the mode, with the delay if there is one.
-func (b behaviour) String() string {
-	switch b.mode {
+// String returns the mode as GET /routes shows it, with the delay for ModeDelay.
+func (imp impairment) String() string {
+	switch imp.mode {
 	case "":
 		return string(ModeOK)
 	case ModeDelay:
-		return string(b.mode) + " " + b.delay.String()
+		return string(imp.mode) + " " + imp.delay.String()
 	default:
-		return string(b.mode)
+		return string(imp.mode)
 	}
 }
--- a/internal/standin/relay/pipe.go
+++ b/internal/standin/relay/pipe.go
@@ -10,22 +10,24 @@
 	"github.com/go-faster/errors"
 )
 
-// relayed is a client's connection with its counterpart to the target.
-type relayed struct {
-	name           string // of the client; empty: not known
-	client, target *net.TCPConn
-	up, down       *pipe // to the target, to the client
+// connection is a client's connection to the relay, paired with the relay's
+// connection to the target.
+type connection struct {
+	clientName         string // empty if the client is not known
+	client, target     *net.TCPConn
+	toTarget, toClient *pipe // the two directions
 }
 
-func (c *relayed) follow(b behaviours) {
-	c.up.set(b.toTarget)
-	c.down.set(b.toClient)
+func (c *connection) setImpairments(imps impairments) {
+	c.toTarget.setImpairment(imps.toTarget)
+	c.toClient.setImpairment(imps.toClient)
 }
 
-// run forwards until both directions have ended or one has failed.
-func (c *relayed) run() {
+// run forwards bytes until both directions have reached their end. If one direction
+// fails, both connections are reset.
+func (c *connection) run() {
 	var wg sync.WaitGroup
-	for _, p := range []*pipe{c.up, c.down} {
+	for _, p := range []*pipe{c.toTarget, c.toClient} {
 		wg.Go(func() {
 			if err := p.forward(); err != nil {
 				c.reset()
@@ -37,152 +39,157 @@
 	_ = c.target.Close()
 }
 
-func (c *relayed) reset() {
-	reset(c.client)
-	reset(c.target)
-	c.up.close()
-	c.down.close()
+func (c *connection) reset() {
+	resetConn(c.client)
+	resetConn(c.target)
+	c.toTarget.close()
+	c.toClient.close()
 }
 
-// behaviour is the lasting mode of a direction; the zero value forwards.
-type behaviour struct {
+// impairment is the lasting fault of one direction. With the zero value, everything
+// is forwarded.
+type impairment struct {
 	mode  Mode
 	delay time.Duration
 }
 
-// pipe forwards one direction of a connection. A reader takes the bytes from the
-// source with the time of their arrival; a writer delivers them.
+// pipe forwards one direction of a connection. One goroutine reads chunks from src
+// and queues them with their time of arrival; another one writes them to dst.
 type pipe struct {
-	from, to *net.TCPConn
-	chunks   chan chunk
-	closed   chan struct{}
-	once     sync.Once
-	written  atomic.Int64 // bytes
-
-	mu        sync.Mutex
-	behaviour behaviour
-	lossy     bool          // bytes were dropped, so nothing may follow
-	changed   chan struct{} // closed and replaced when the above changes
+	src, dst     *net.TCPConn
+	chunks       chan chunk
+	closed       chan struct{}
+	closeOnce    sync.Once
+	writtenBytes atomic.Int64
+
+	mu         sync.Mutex
+	impairment impairment
+	dropping   bool          // bytes of the stream were dropped, so nothing after them may be delivered
+	changed    chan struct{} // closed and replaced when impairment or dropping changes
 }
 
-// chunk is what one read returned.
+// chunk holds the bytes that one read returned.
 type chunk struct {
-	data    []byte
-	arrived time.Time
+	data       []byte
+	receivedAt time.Time
 }
 
 const (
-	chunkSize = 32 << 10
-	// queueLength bounds the memory of a held or delayed connection. Beyond it
-	// the sender meets TCP flow control.
-	queueLength = 64
+	chunkSize = 32 << 10 // bytes
+	// maxQueuedChunks limits the memory of a held or delayed connection. When the
+	// queue is full, the relay stops reading and TCP flow control blocks the sender.
+	maxQueuedChunks = 64
 )
 
-var errClosed = errors.New("connection was closed")
+var errConnClosed = errors.New("connection was closed")
 
-func newPipe(from, to *net.TCPConn) *pipe {
+func newPipe(src, dst *net.TCPConn) *pipe {
 	return &pipe{
-		from: from, to: to,
-		chunks: make(chan chunk, queueLength), closed: make(chan struct{}), changed: make(chan struct{}),
+		src: src, dst: dst,
+		chunks: make(chan chunk, maxQueuedChunks), closed: make(chan struct{}), changed: make(chan struct{}),
 	}
 }
 
-func (p *pipe) set(b behaviour) {
+func (p *pipe) setImpairment(imp impairment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.behaviour = b
+	p.impairment = imp
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// silence drops everything from now on.
-func (p *pipe) silence() {
+// startDropping makes the pipe drop everything from now on, also the end of the
+// stream.
+func (p *pipe) startDropping() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lossy = true
+	p.dropping = true
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *pipe) close() { p.once.Do(func() { close(p.closed) }) }
+func (p *pipe) close() { p.closeOnce.Do(func() { close(p.closed) }) }
 
-// forward returns nil after the source's end was passed on.
+// forward forwards src to dst and returns nil once it has forwarded the end of the
+// stream.
 func (p *pipe) forward() error {
-	read := make(chan error, 1)
-	go func() { read <- p.read() }()
+	readErr := make(chan error, 1)
+	go func() { readErr <- p.read() }()
 	for c := range p.chunks {
 		if err := p.deliver(c); err != nil {
 			p.close()
 			return err
 		}
 	}
-	// The end passes as the bytes do, a reset as well.
-	if err := p.deliver(chunk{arrived: time.Now()}); err != nil {
+	// The end of the stream, also one caused by a reset, is subject to the same
+	// impairment as the bytes before it.
+	if err := p.deliver(chunk{receivedAt: time.Now()}); err != nil {
 		return err
 	}
-	return <-read
+	return <-readErr
 }
 
-// read queues what arrives. It returns nil at the source's end.
+// read queues the chunks that arrive from src and returns nil at the end of the
+// stream.
 func (p *pipe) read() error {
 	defer close(p.chunks)
 	buf := make([]byte, chunkSize)
 	for {
-		n, err := p.from.Read(buf)
+		n, err := p.src.Read(buf)
 		if n > 0 {
 			select {
-			case p.chunks <- chunk{data: bytes.Clone(buf[:n]), arrived: time.Now()}:
+			case p.chunks <- chunk{data: bytes.Clone(buf[:n]), receivedAt: time.Now()}:
 			case <-p.closed:
-				return errClosed
+				return errConnClosed
 			}
 		}
 		if err != nil {
-			return endOrError(err)
+			return ignoreEOF(err)
 		}
 	}
 }
 
-// deliver waits as the behaviour demands and then writes or drops the chunk. An
-// empty chunk stands for the end of the stream. Once something was dropped the
-// end is not passed on either: the pipe then waits for the connection's reset.
+// deliver waits as long as the impairment requires and then writes or drops the
+// chunk. An empty chunk marks the end of the stream. If bytes were dropped, the end
+// is not forwarded either: deliver then blocks until the pipe is closed.
 func (p *pipe) deliver(c chunk) error {
 	for {
 		p.mu.Lock()
-		b, changed := p.behaviour, p.changed
-		if b.mode == ModeCut {
-			p.lossy = true
+		imp, changed := p.impairment, p.changed
+		if imp.mode == ModeCut {
+			p.dropping = true
 		}
-		lossy := p.lossy
+		dropping := p.dropping
 		p.mu.Unlock()
-		var due <-chan time.Time
-		wait := b.mode == ModeHold
-		if left := time.Until(c.arrived.Add(b.delay)); b.mode == ModeDelay && left > 0 {
+		var delayElapsed <-chan time.Time
+		wait := imp.mode == ModeHold
+		if remaining := time.Until(c.receivedAt.Add(imp.delay)); imp.mode == ModeDelay && remaining > 0 {
 			wait = true
-			due = time.After(left)
+			delayElapsed = time.After(remaining)
 		}
 		switch {
-		case lossy && len(c.data) > 0:
+		case dropping && len(c.data) > 0:
 			return nil
-		case lossy:
+		case dropping:
 			<-p.closed
-			return errClosed
+			return errConnClosed
 		case !wait:
 			return p.write(c)
 		}
 		select {
 		case <-changed:
-		case <-due:
+		case <-delayElapsed:
 		case <-p.closed:
-			return errClosed
+			return errConnClosed
 		}
 	}
 }
 
 func (p *pipe) write(c chunk) error {
 	if len(c.data) == 0 {
-		return p.to.CloseWrite()
+		return p.dst.CloseWrite()
 	}
-	n, err := p.to.Write(c.data)
-	p.written.Add(int64(n))
+	n, err := p.dst.Write(c.data)
+	p.writtenBytes.Add(int64(n))
 	return err
 }
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,30 +1,31 @@
 // Package relay is a TCP relay that injects network faults between processes.
-// One relay serves many routes, each from a listening address to a target.
+// One relay serves many routes, each from a listen address to a target address.
 //
 // Control API:
 //
 //	PUT    /routes?name=&listen=&target=   adds a route; answers {"listen":"IP:port"}
-//	DELETE /routes/NAME                    removes it and closes its connections
-//	GET    /routes                         lists routes with their state
+//	DELETE /routes/NAME                    removes a route and resets its connections
+//	GET    /routes                         lists the routes with their state
 //	POST   /routes/NAME/fault?mode=&direction=to-target|to-client|both&delay-ms=&client=
 //
-// Modes that last until the next one:
+// Modes that stay in force until they are replaced:
 //
 //	ok      forwards everything
 //	cut     drops the bytes of the direction. A connection that has lost bytes
-//	        stays cut, since its stream has a hole
-//	hold    keeps the bytes of the direction and delivers them after the fault
-//	delay   delivers the bytes of the direction after delay-ms
-//	refuse  refuses new connections; open ones go on
+//	        stays cut after the fault, because its stream is incomplete
+//	hold    queues the bytes of the direction and delivers them after the fault
+//	delay   delivers the bytes of the direction delay-ms after their arrival
+//	refuse  refuses new connections; open connections are not affected
 //
-// Modes that act once, on the connections open at that moment:
+// Modes that act once, on the connections that are open at that moment:
 //
-//	silent  nothing passes on them any more, not even their end
-//	reset   they are reset
+//	silent  drops everything in both directions for good, also the end of the stream
+//	reset   resets the connections
 //
-// A direction is to-target, to-client or both (the default); refuse, silent,
-// reset and ok apply to the whole route. A fault with a client concerns only the
-// connections of the client with this name, see Identify; ok ends all faults.
+// The direction is to-target, to-client or both (the default). The modes refuse,
+// silent, reset and ok apply to both directions. A fault with a client applies only
+// to the connections of the client with this name; see [Server.Identify]. The mode
+// ok ends the faults of all clients.
 package relay
 
 import (
@@ -37,10 +38,10 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/http1"
 )
 
-// Mode is what a fault does; see the package comment.
+// Mode is the type of a fault. The package comment describes the modes.
 type Mode string
 
-// Modes of a fault.
+// Modes of faults.
 const (
 	ModeOK     Mode = "ok"
 	ModeCut    Mode = "cut"
@@ -51,7 +52,7 @@
 	ModeReset  Mode = "reset"
 )
 
-// Direction selects the bytes that a fault applies to.
+// Direction selects the direction of forwarding that a fault applies to.
 type Direction string
 
 // Directions.
@@ -61,26 +62,27 @@
 	Both     Direction = "both"
 )
 
-// Fault is a change of a route's behaviour.
+// Fault is a fault of a route, or with ModeOK the end of its faults.
 type Fault struct {
 	Mode      Mode
 	Direction Direction     // empty means Both
-	Delay     time.Duration // of ModeDelay
-	Client    string        // empty: all; not for ModeRefuse
+	Delay     time.Duration // for ModeDelay
+	Client    string        // name of the client; empty: all clients; ignored by ModeRefuse
 }
 
 // Server is a running relay with its control API.
 type Server struct {
-	http *http1.Server
+	controlAPI *http1.Server
 
 	mu       sync.Mutex
 	routes   map[string]*route
 	closed   bool
-	identify func(local, remote net.Addr) string // nil: clients have no names
+	identify func(local, remote net.Addr) string // nil: clients are not identified
 }
 
-// Identify makes the server name the clients of new connections. The arguments
-// are the addresses of the relay's end.
+// Identify sets the function that returns the client's name for a new connection. Its
+// arguments are the addresses of the relay's end of the connection. It applies to
+// routes that are added later.
 func (s *Server) Identify(f func(local, remote net.Addr) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,16 +93,16 @@
 func Start(addr string) (*Server, error) {
 	s := &Server{routes: make(map[string]*route)}
 	var err error
-	if s.http, err = http1.Listen(http1.ServerConfig{Addr: addr, Handler: s.handler()}); err != nil {
+	if s.controlAPI, err = http1.Listen(http1.ServerConfig{Addr: addr, Handler: s.handler()}); err != nil {
 		return nil, errors.Wrap(err, "start relay")
 	}
 	return s, nil
 }
 
 // Addr returns the address of the control API.
-func (s *Server) Addr() string { return s.http.Addr() }
+func (s *Server) Addr() string { return s.controlAPI.Addr() }
 
-// Close ends every route and the control API.
+// Close removes every route and stops the control API.
 func (s *Server) Close() {
 	s.mu.Lock()
 	routes := s.routes
@@ -109,18 +111,18 @@
 	for _, r := range routes {
 		r.close()
 	}
-	s.http.Close()
+	s.controlAPI.Close()
 }
 
 // Errors of the control API.
 var (
-	errExists   = errors.New("route exists")
-	errNoRoute  = errors.New("no such route")
-	errStopping = errors.New("relay is closed")
+	errRouteExists = errors.New("route exists")
+	errNoRoute     = errors.New("no such route")
+	errRelayClosed = errors.New("relay is closed")
 )
 
-// AddRoute forwards connections to listen ("IP:port"; port 0 picks a free one)
-// on to target, and returns the listening address.
+// AddRoute adds a route that forwards connections to the address listen ("IP:port";
+// port 0 selects a free port) to target, and returns the listen address.
 func (s *Server) AddRoute(name, listen, target string) (string, error) {
 	if name == "" || target == "" {
 		return "", errors.New("name or target is empty")
@@ -128,12 +130,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return "", errStopping
+		return "", errRelayClosed
 	}
 	if _, ok := s.routes[name]; ok {
-		return "", errors.Wrap(errExists, name)
+		return "", errors.Wrap(errRouteExists, name)
 	}
-	r := &route{target: target, conns: make(map[*relayed]struct{}), ofClient: make(map[string]behaviours), identify: s.identify}
+	r := &route{target: target, conns: make(map[*connection]struct{}), clientImpairments: make(map[string]impairments), identify: s.identify}
 	if err := r.listen(listen); err != nil {
 		return "", errors.Wrapf(err, "route %s", name)
 	}
@@ -141,7 +143,7 @@
 	return r.addr, nil
 }
 
-// RemoveRoute closes the route's listener and connections.
+// RemoveRoute removes a route, closes its listener and resets its connections.
 func (s *Server) RemoveRoute(name string) error {
 	s.mu.Lock()
 	r, ok := s.routes[name]
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// SetFault changes the behaviour of a route.
+// SetFault applies a fault to a route.
 func (s *Server) SetFault(name string, f Fault) error {
 	s.mu.Lock()
 	r, ok := s.routes[name]
@@ -170,79 +172,81 @@
 	default:
 		return errors.Errorf("direction %q, want to-target, to-client or both", f.Direction)
 	}
-	if err := r.apply(f); err != nil {
+	if err := r.applyFault(f); err != nil {
 		return errors.Wrapf(err, "route %s", name)
 	}
 	return nil
 }
 
-// route forwards the connections of one listener.
+// route forwards the connections of one listener to one target.
 type route struct {
 	target string
 	addr   string
 
 	mu       sync.Mutex
-	listener net.Listener // nil while connections are refused
+	listener net.Listener // nil while new connections are refused
 	closed   bool
-	conns    map[*relayed]struct{}
-	behaviours
-	ofClient map[string]behaviours // in place of the route's
-	identify func(local, remote net.Addr) string
+	conns    map[*connection]struct{}
+	impairments
+	clientImpairments map[string]impairments // by client name; replaces the route's impairments for that client
+	identify          func(local, remote net.Addr) string
 }
 
-type behaviours struct {
-	toTarget behaviour
-	toClient behaviour
+// impairments holds the impairment of each direction.
+type impairments struct {
+	toTarget impairment
+	toClient impairment
 }
 
-// of returns the behaviours for a client.
-func (r *route) of(client string) behaviours {
-	if b, ok := r.ofClient[client]; ok {
-		return b
+// impairmentsFor returns the impairments that apply to a client's connections.
+func (r *route) impairmentsFor(client string) impairments {
+	if imps, ok := r.clientImpairments[client]; ok {
+		return imps
 	}
-	return r.behaviours
+	return r.impairments
 }
 
-// listen opens the listener. The caller holds the lock or owns the route.
+// listen opens the listener and starts to accept connections. The caller holds r.mu,
+// or no other goroutine knows the route yet.
 func (r *route) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	r.listener, r.addr = ln, ln.Addr().String()
-	go r.accept(ln)
+	go r.acceptLoop(ln)
 	return nil
 }
 
-func (r *route) accept(ln net.Listener) {
+func (r *route) acceptLoop(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go r.connect(c.(*net.TCPConn))
+		go r.relayConn(c.(*net.TCPConn))
 	}
 }
 
-// dialTimeout bounds the time that a caller hangs on a dead target.
+// dialTimeout limits the time that a client waits for a target that does not answer.
 const dialTimeout = 5 * time.Second
 
-// connect dials the target and forwards until both directions have ended. A
-// client whose target cannot be reached is reset.
-func (r *route) connect(client *net.TCPConn) {
+// relayConn dials the target and forwards until both directions have ended. If the
+// target cannot be reached, the client's connection is reset.
+func (r *route) relayConn(client *net.TCPConn) {
 	name := ""
 	if r.identify != nil {
 		name = r.identify(client.LocalAddr(), client.RemoteAddr())
 	}
 	nc, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
-		reset(client)
+		resetConn(client)
 		return
 	}
 	target := nc.(*net.TCPConn)
-	c := &relayed{
-		name: name, client: client, target: target,
-		up: newPipe(client, target), down: newPipe(target, client),
+	c := &connection{
+		clientName: name, client: client, target: target,
+		toTarget: newPipe(client, target), toClient: newPipe(target, client),
 	}
 	r.mu.Lock()
 	if r.closed {
@@ -251,7 +255,7 @@
 		return
 	}
 	r.conns[c] = struct{}{}
-	c.follow(r.of(name))
+	c.setImpairments(r.impairmentsFor(name))
 	r.mu.Unlock()
 	c.run()
 	r.mu.Lock()
@@ -259,7 +263,7 @@
 	r.mu.Unlock()
 }
 
-func (r *route) apply(f Fault) error {
+func (r *route) applyFault(f Fault) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -267,13 +271,13 @@
 	}
 	switch f.Mode {
 	case ModeOK:
-		clear(r.ofClient)
-		r.behave(Fault{Direction: Both}, behaviour{mode: ModeOK})
+		clear(r.clientImpairments)
+		r.setImpairment(Fault{Direction: Both}, impairment{mode: ModeOK})
 		if r.listener == nil {
 			return r.listen(r.addr)
 		}
 	case ModeCut, ModeHold, ModeDelay:
-		r.behave(f, behaviour{mode: f.Mode, delay: f.Delay})
+		r.setImpairment(f, impairment{mode: f.Mode, delay: f.Delay})
 	case ModeRefuse:
 		if r.listener != nil {
 			_ = r.listener.Close()
@@ -281,14 +285,14 @@
 		}
 	case ModeSilent:
 		for c := range r.conns {
-			if f.concerns(c) {
-				c.up.silence()
-				c.down.silence()
+			if f.matches(c) {
+				c.toTarget.startDropping()
+				c.toClient.startDropping()
 			}
 		}
 	case ModeReset:
 		for c := range r.conns {
-			if f.concerns(c) {
+			if f.matches(c) {
 				c.reset()
 			}
 		}
@@ -298,25 +302,25 @@
 	return nil
 }
 
-func (f Fault) concerns(c *relayed) bool { return f.Client == "" || f.Client == c.name }
+func (f Fault) matches(c *connection) bool { return f.Client == "" || f.Client == c.clientName }
 
-// behave changes a direction of the present and future connections. The caller
-// holds the lock.
-func (r *route) behave(f Fault, b behaviour) {
-	next := r.of(f.Client)
+// setImpairment sets the impairment of f's direction on the client's open and future
+// connections. The caller holds r.mu.
+func (r *route) setImpairment(f Fault, imp impairment) {
+	next := r.impairmentsFor(f.Client)
 	if f.Direction != ToClient {
-		next.toTarget = b
+		next.toTarget = imp
 	}
 	if f.Direction != ToTarget {
-		next.toClient = b
+		next.toClient = imp
 	}
 	if f.Client == "" {
-		r.behaviours = next
+		r.impairments = next
 	} else {
-		r.ofClient[f.Client] = next
+		r.clientImpairments[f.Client] = next
 	}
 	for c := range r.conns {
-		c.follow(r.of(c.name))
+		c.setImpairments(r.impairmentsFor(c.clientName))
 	}
 }
 
@@ -332,8 +336,8 @@
 	}
 }
 
-// reset closes the connection with a TCP reset.
-func reset(c *net.TCPConn) {
+// resetConn closes the connection with a TCP reset.
+func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// bound ends an operation that would hang.
-	bound = 5 * time.Second
-	// quiet is how long nothing must arrive.
-	quiet = 100 * time.Millisecond
+	// opTimeout ends an operation that does not finish.
+	opTimeout = 5 * time.Second
+	// silencePeriod is the time for which checkSilent expects that nothing arrives.
+	silencePeriod = 100 * time.Millisecond
 )
 
-// startEcho starts a relay with a route "r" to an echo server.
+// startEcho starts a relay with a route "r" to an echo server and returns the listen
+// address of the route.
 func startEcho(t *testing.T) (s *Server, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,7 +68,7 @@
 	}
 }
 
-// receive returns what arrives within the time, up to n bytes.
+// receive reads up to n bytes and returns those that arrive within the time.
 func receive(c net.Conn, n int, within time.Duration) (string, error) {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	buf := make([]byte, n)
@@ -75,18 +76,18 @@
 	return string(buf[:n]), err
 }
 
-func echoes(t *testing.T, c net.Conn, text string) {
+func checkEcho(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	send(t, c, text)
-	if got, err := receive(c, len(text), bound); got != text {
+	if got, err := receive(c, len(text), opTimeout); got != text {
 		t.Fatalf("echo = %q, %v, want %q", got, err, text)
 	}
 }
 
-func isSilent(t *testing.T, c net.Conn) {
+func checkSilent(t *testing.T, c net.Conn) {
 	t.Helper()
-	if got, err := receive(c, 1, quiet); got != "" || !isTimeout(err) {
-		t.Fatalf("received %q, %v, want silence", got, err)
+	if got, err := receive(c, 1, silencePeriod); got != "" || !isTimeout(err) {
+		t.Fatalf("received %q, %v, want nothing before the timeout", got, err)
 	}
 }
 
@@ -95,90 +96,91 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-func apply(t *testing.T, s *Server, f Fault) {
+func setFault(t *testing.T, s *Server, f Fault) {
 	t.Helper()
 	if err := s.SetFault("r", f); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Guards against a cut that a connection survives with a hole in its stream,
-// and against a cut of one direction that stops the other.
+// TestCut guards against connections that deliver later bytes although earlier ones
+// were dropped, and against a cut of one direction that also stops the other.
 func TestCut(t *testing.T) {
 	for _, d := range []Direction{ToTarget, ToClient, Both} {
 		s, addr := startEcho(t)
 		c := dial(t, addr)
-		echoes(t, c, "before")
-		apply(t, s, Fault{Mode: ModeCut, Direction: d})
+		checkEcho(t, c, "before")
+		setFault(t, s, Fault{Mode: ModeCut, Direction: d})
 		send(t, c, "lost")
-		isSilent(t, c)
+		checkSilent(t, c)
 		want := map[Direction]int64{ToTarget: 6, ToClient: 10, Both: 6}[d]
 		s.routes["r"].mu.Lock()
 		for c := range s.routes["r"].conns {
-			if diff := cmp.Diff(want, c.up.written.Load()); diff != "" {
+			if diff := cmp.Diff(want, c.toTarget.writtenBytes.Load()); diff != "" {
 				t.Errorf("%s: bytes to the target: %s", d, diff)
 			}
 		}
 		s.routes["r"].mu.Unlock()
-		apply(t, s, Fault{Mode: ModeOK})
+		setFault(t, s, Fault{Mode: ModeOK})
 		send(t, c, "after")
-		isSilent(t, c)
-		echoes(t, dial(t, addr), "new")
+		checkSilent(t, c)
+		checkEcho(t, dial(t, addr), "new")
 	}
 }
 
-// Guards against held or delayed bytes that arrive early, never or out of order.
+// TestHoldAndDelay guards against held or delayed bytes that arrive early, out of
+// order or not at all.
 func TestHoldAndDelay(t *testing.T) {
 	s, addr := startEcho(t)
 	c := dial(t, addr)
-	apply(t, s, Fault{Mode: ModeHold, Direction: ToClient})
+	setFault(t, s, Fault{Mode: ModeHold, Direction: ToClient})
 	send(t, c, "held")
-	isSilent(t, c)
-	apply(t, s, Fault{Mode: ModeDelay, Delay: quiet})
+	checkSilent(t, c)
+	setFault(t, s, Fault{Mode: ModeDelay, Delay: silencePeriod})
 	start := time.Now()
 	send(t, c, " late")
-	if got, err := receive(c, 9, bound); got != "held late" || time.Since(start) < 2*quiet {
+	if got, err := receive(c, 9, opTimeout); got != "held late" || time.Since(start) < 2*silencePeriod {
 		t.Errorf("received %q, %v after %v", got, err, time.Since(start))
 	}
 }
 
-// Guards against a silent connection whose end or reset is noticed, and against
-// silence on new connections.
+// TestSilent guards against a silent connection whose end the other side notices, and
+// against new connections that are silent.
 func TestSilent(t *testing.T) {
 	s, addr := startEcho(t)
 	c := dial(t, addr)
-	echoes(t, c, "before")
-	apply(t, s, Fault{Mode: ModeSilent})
-	echoes(t, dial(t, addr), "new")
+	checkEcho(t, c, "before")
+	setFault(t, s, Fault{Mode: ModeSilent})
+	checkEcho(t, dial(t, addr), "new")
 	send(t, c, "lost")
-	isSilent(t, c)
+	checkSilent(t, c)
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	isSilent(t, c)
+	checkSilent(t, c)
 }
 
-// Guards against a refusal that cuts open connections or outlasts the fault, and
-// against a reset that looks like a regular end.
+// TestRefuseAndReset guards against ModeRefuse closing open connections or outlasting
+// the fault, and against a reset that the client sees as a regular end of the stream.
 func TestRefuseAndReset(t *testing.T) {
 	s, addr := startEcho(t)
 	c := dial(t, addr)
-	echoes(t, c, "open")
-	apply(t, s, Fault{Mode: ModeRefuse})
+	checkEcho(t, c, "open")
+	setFault(t, s, Fault{Mode: ModeRefuse})
 	if c, err := net.Dial("tcp", addr); err == nil {
 		_ = c.Close()
 		t.Error("connection was not refused")
 	}
-	echoes(t, c, "still open")
-	apply(t, s, Fault{Mode: ModeOK})
-	echoes(t, dial(t, addr), "new")
-	apply(t, s, Fault{Mode: ModeReset})
-	if _, err := receive(c, 1, bound); err == nil || errors.Is(err, io.EOF) || isTimeout(err) {
+	checkEcho(t, c, "still open")
+	setFault(t, s, Fault{Mode: ModeOK})
+	checkEcho(t, dial(t, addr), "new")
+	setFault(t, s, Fault{Mode: ModeReset})
+	if _, err := receive(c, 1, opTimeout); err == nil || errors.Is(err, io.EOF) || isTimeout(err) {
 		t.Errorf("read = %v, want a reset", err)
 	}
 }
 
-// Guards against a control API that differs from the package comment.
+// TestControl guards against a control API that differs from the package comment.
 func TestControl(t *testing.T) {
 	s, addr := startEcho(t)
 	client, err := http1.NewClient()
