--- a/internal/standin/store/codec.go
+++ b/internal/standin/store/codec.go
@@ -8,30 +8,31 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/platform"
 )
 
-// answer is the body of an answer with status 200.
+// answer is a response body with status 200.
 type answer interface{ encode() []byte }
 
 type (
-	// done answers calls that return nothing.
-	done struct{}
-	// stored answers a write.
-	stored struct{ revision revision }
-	// granted answers the creation and the renewal of a lease.
-	granted struct {
+	// emptyAnswer is the answer to calls that return no data.
+	emptyAnswer struct{}
+	// writeAnswer is the answer to a write.
+	writeAnswer struct{ revision revision }
+	// leaseAnswer is the answer to the creation or renewal of a lease.
+	leaseAnswer struct {
 		id  leaseID
 		ttl time.Duration
 	}
-	// changes answers a read.
-	changes struct {
+	// changesAnswer is the answer to a read or watch.
+	changesAnswer struct {
 		revision revision
 		entries  []entry
 	}
-	instanceList []platform.Listed
+	// instancesAnswer is the answer to a read of the instance list.
+	instancesAnswer []platform.Listed
 )
 
-func (done) encode() []byte { return []byte("{}") }
+func (emptyAnswer) encode() []byte { return []byte("{}") }
 
-func (a stored) encode() []byte {
+func (a writeAnswer) encode() []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("revision", func(e *jx.Encoder) { e.UInt64(uint64(a.revision)) })
@@ -39,7 +40,7 @@
 	return e.Bytes()
 }
 
-func (a granted) encode() []byte {
+func (a leaseAnswer) encode() []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("lease", func(e *jx.Encoder) { e.Str(string(a.id)) })
@@ -48,7 +49,7 @@
 	return e.Bytes()
 }
 
-func (a changes) encode() []byte {
+func (a changesAnswer) encode() []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("revision", func(e *jx.Encoder) { e.UInt64(uint64(a.revision)) })
@@ -66,7 +67,7 @@
 func (en entry) encode(e *jx.Encoder) {
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("key", func(e *jx.Encoder) { e.Str(en.key) })
-		e.Field("value", func(e *jx.Encoder) { e.Base64(append([]byte{}, en.value...)) }) // not null if empty
+		e.Field("value", func(e *jx.Encoder) { e.Base64(append([]byte{}, en.value...)) }) // Base64 encodes a nil slice as null
 		e.Field("revision", func(e *jx.Encoder) { e.UInt64(uint64(en.revision)) })
 		if en.deleted {
 			e.Field("deleted", func(e *jx.Encoder) { e.Bool(true) })
@@ -74,15 +75,15 @@
 	})
 }
 
-func (a instanceList) encode() []byte { return platform.EncodeList(a) }
+func (a instancesAnswer) encode() []byte { return platform.EncodeList(a) }
 
-// encode returns {"error":"","revision":n}, the latter for a conflict only.
+// encode returns {"error":"","revision":n}. Only a conflict has a revision.
 func (f *statusError) encode() []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("error", func(e *jx.Encoder) { e.Str(f.detail) })
-		if f.current != nil {
-			e.Field("revision", func(e *jx.Encoder) { e.UInt64(uint64(*f.current)) })
+		if f.currentRevision != nil {
+			e.Field("revision", func(e *jx.Encoder) { e.UInt64(uint64(*f.currentRevision)) })
 		}
 	})
 	return e.Bytes()
--- a/internal/standin/store/handler.go
+++ b/internal/standin/store/handler.go
@@ -13,11 +13,11 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/platform"
 )
 
-// statusError is an answer other than 200.
+// statusError is an answer with a status other than 200.
 type statusError struct {
-	status  int
-	detail  string
-	current *revision // of a conflict
+	status          int
+	detail          string
+	currentRevision *revision // of the key; only for a conflict
 }
 
 func (e *statusError) Error() string { return strconv.Itoa(e.status) + " " + e.detail }
@@ -26,12 +26,13 @@
 	return &statusError{status: http.StatusBadRequest, detail: err.Error()}
 }
 
-// answerer returns the answer to a call, or a *statusError, or errNoAnswer.
-type answerer func(r *http.Request) (answer, error)
+// callHandler returns the answer to a call, or an error that is a *statusError or
+// errNoAnswer.
+type callHandler func(r *http.Request) (answer, error)
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	for pattern, a := range map[string]answerer{
+	for pattern, a := range map[string]callHandler{
 		"GET /v1/changes":            s.getChanges,
 		"PUT /v1/kv":                 s.putKey,
 		"POST /v1/leases":            s.postLease,
@@ -67,9 +68,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the caller may have gone
+	_, _ = w.Write(body) // the client may have closed the connection
 }
 
+// closeWithoutAnswer closes the connection of a call. The client sees that as a lost
+// answer.
 func closeWithoutAnswer(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if conn, _, err := h.Hijack(); err == nil {
@@ -80,11 +83,11 @@
 
 func (s *Server) getChanges(r *http.Request) (answer, error) {
 	q := r.URL.Query()
-	after, err := number(q, "after")
+	after, err := uintParam(q, "after")
 	if err != nil {
 		return nil, err
 	}
-	wait, err := milliseconds(q, "wait-ms")
+	wait, err := durationParam(q, "wait-ms")
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +97,7 @@
 func (s *Server) putKey(r *http.Request) (answer, error) {
 	q := r.URL.Query()
 	key, id := q.Get("key"), leaseID(q.Get("lease"))
-	expect, err := number(q, "expect")
+	expect, err := uintParam(q, "expect")
 	if err != nil {
 		return nil, err
 	}
@@ -105,56 +108,56 @@
 	if err != nil {
 		return nil, badRequest(errors.Wrap(err, "read the value"))
 	}
-	if len(value) > maxValue {
-		detail := "value of " + strconv.Itoa(len(value)) + " bytes, limit " + strconv.Itoa(maxValue)
+	if len(value) > maxValueBytes {
+		detail := "value of " + strconv.Itoa(len(value)) + " bytes, limit " + strconv.Itoa(maxValueBytes)
 		return nil, &statusError{status: http.StatusRequestEntityTooLarge, detail: detail}
 	}
-	return s.write(r.Context(), func(time.Time) (answer, error) {
+	return s.runWrite(r.Context(), func(time.Time) (answer, error) {
 		if id != "" && s.table.leases[id] == nil {
-			return nil, noLease(id)
+			return nil, leaseNotFound(id)
 		}
 		rev, ok := s.table.put(key, revision(expect), value, id)
 		if !ok {
-			return nil, &statusError{status: http.StatusConflict, detail: "conflict", current: &rev}
+			return nil, &statusError{status: http.StatusConflict, detail: "conflict", currentRevision: &rev}
 		}
-		return stored{revision: rev}, nil
+		return writeAnswer{revision: rev}, nil
 	})
 }
 
-func noLease(id leaseID) error {
+func leaseNotFound(id leaseID) error {
 	return &statusError{status: http.StatusNotFound, detail: "no lease " + strconv.Quote(string(id))}
 }
 
 func (s *Server) postLease(r *http.Request) (answer, error) {
-	ttl, err := milliseconds(r.URL.Query(), "ttl-ms")
+	ttl, err := durationParam(r.URL.Query(), "ttl-ms")
 	if err != nil {
 		return nil, err
 	}
 	if ttl <= 0 {
 		return nil, badRequest(errors.New("ttl-ms must be positive"))
 	}
-	return s.write(r.Context(), func(now time.Time) (answer, error) {
-		return granted{id: s.table.addLease(now, ttl), ttl: ttl}, nil
+	return s.runWrite(r.Context(), func(now time.Time) (answer, error) {
+		return leaseAnswer{id: s.table.addLease(now, ttl), ttl: ttl}, nil
 	})
 }
 
 func (s *Server) renewLease(r *http.Request) (answer, error) {
 	id := leaseID(r.PathValue("id"))
-	return s.write(r.Context(), func(now time.Time) (answer, error) {
+	return s.runWrite(r.Context(), func(now time.Time) (answer, error) {
 		if !s.table.renew(now, id) {
-			return nil, noLease(id)
+			return nil, leaseNotFound(id)
 		}
-		return granted{id: id, ttl: s.table.leases[id].ttl}, nil
+		return leaseAnswer{id: id, ttl: s.table.leases[id].ttl}, nil
 	})
 }
 
 func (s *Server) deleteLease(r *http.Request) (answer, error) {
 	id := leaseID(r.PathValue("id"))
-	return s.write(r.Context(), func(time.Time) (answer, error) {
+	return s.runWrite(r.Context(), func(time.Time) (answer, error) {
 		if !s.table.endLease(id) {
-			return nil, noLease(id)
+			return nil, leaseNotFound(id)
 		}
-		return stored{revision: s.table.revision}, nil
+		return writeAnswer{revision: s.table.revision}, nil
 	})
 }
 
@@ -162,7 +165,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.instanceCalls++
-	return instanceList(s.instances.list(time.Now())), nil
+	return instancesAnswer(s.instances.visibleAt(time.Now())), nil
 }
 
 func (s *Server) putInstance(r *http.Request) (answer, error) {
@@ -175,7 +178,7 @@
 		return nil, badRequest(err)
 	}
 	s.SetInstance(time.Now(), l)
-	return done{}, nil
+	return emptyAnswer{}, nil
 }
 
 func (s *Server) deleteInstance(r *http.Request) (answer, error) {
@@ -184,27 +187,29 @@
 		return nil, badRequest(errors.New("name is empty"))
 	}
 	s.RemoveInstance(time.Now(), name)
-	return done{}, nil
+	return emptyAnswer{}, nil
 }
 
-// SetInstance adds or replaces an entry of the instance list after the lag.
+// SetInstance adds or replaces an entry of the instance list. The change becomes
+// visible after the lag.
 func (s *Server) SetInstance(now time.Time, l platform.Listed) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.instances.change(instanceChange{at: now, listed: l})
+	s.instances.addChange(instanceChange{at: now, listed: l})
 }
 
-// RemoveInstance removes an entry of the instance list after the lag.
+// RemoveInstance removes an entry of the instance list. The change becomes visible
+// after the lag.
 func (s *Server) RemoveInstance(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.instances.change(instanceChange{at: now, listed: platform.Listed{Name: name}, remove: true})
+	s.instances.addChange(instanceChange{at: now, listed: platform.Listed{Name: name}, remove: true})
 }
 
 func (s *Server) getStats(*http.Request) (answer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault(time.Now())
+	s.currentFault(time.Now())
 	st := s.stats
 	st.revision, st.leases = s.table.revision, len(s.table.leases)
 	return st, nil
@@ -212,22 +217,22 @@
 
 func (s *Server) postFault(r *http.Request) (answer, error) {
 	q := r.URL.Query()
-	delay, err := milliseconds(q, "delay-ms")
+	delay, err := durationParam(q, "delay-ms")
 	if err != nil {
 		return nil, err
 	}
-	period, err := milliseconds(q, "for-ms")
+	duration, err := durationParam(q, "for-ms")
 	if err != nil {
 		return nil, err
 	}
-	if err := s.SetFault(time.Now(), Fault{Mode: Mode(q.Get("mode")), Delay: delay, For: period}); err != nil {
+	if err := s.SetFault(time.Now(), Fault{Mode: Mode(q.Get("mode")), Delay: delay, For: duration}); err != nil {
 		return nil, badRequest(err)
 	}
-	return done{}, nil
+	return emptyAnswer{}, nil
 }
 
-// number returns a parameter, 0 if it is absent.
-func number(q url.Values, name string) (uint64, error) {
+// uintParam returns the value of a query parameter, or 0 if it is absent.
+func uintParam(q url.Values, name string) (uint64, error) {
 	if !q.Has(name) {
 		return 0, nil
 	}
@@ -238,7 +243,7 @@
 	return n, nil
 }
 
-func milliseconds(q url.Values, name string) (time.Duration, error) {
-	n, err := number(q, name)
-	return time.Duration(min(n, 1<<40)) * time.Millisecond, err // bounded against overflow
+func durationParam(q url.Values, name string) (time.Duration, error) {
+	n, err := uintParam(q, name)
+	return time.Duration(min(n, 1<<40)) * time.Millisecond, err // the limit prevents an overflow
 }
--- a/internal/standin/store/instances.go
+++ b/internal/standin/store/instances.go
@@ -8,28 +8,29 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/platform"
 )
 
-// instances is the platform's instance list. A change becomes visible after the
-// lag, in the order of the changes.
-type instances struct {
+// laggedList is the platform's instance list. Changes become visible after the lag,
+// in the order in which they were made.
+type laggedList struct {
 	lag     time.Duration
 	visible map[string]platform.Listed
 	pending []instanceChange
 }
 
+// instanceChange adds, replaces or removes one entry of the instance list.
 type instanceChange struct {
 	at     time.Time
-	listed platform.Listed // only the name is set if removed
+	listed platform.Listed // for a removal only the name is set
 	remove bool
 }
 
-func newInstances(lag time.Duration) *instances {
-	return &instances{lag: lag, visible: make(map[string]platform.Listed)}
+func newLaggedList(lag time.Duration) *laggedList {
+	return &laggedList{lag: lag, visible: make(map[string]platform.Listed)}
 }
 
-func (l *instances) change(c instanceChange) { l.pending = append(l.pending, c) }
+func (l *laggedList) addChange(c instanceChange) { l.pending = append(l.pending, c) }
 
-// list returns what is visible at now, by name.
-func (l *instances) list(now time.Time) []platform.Listed {
+// visibleAt returns the entries that are visible at now, sorted by name.
+func (l *laggedList) visibleAt(now time.Time) []platform.Listed {
 	for len(l.pending) > 0 && !now.Before(l.pending[0].at.Add(l.lag)) {
 		c := l.pending[0]
 		l.pending = l.pending[1:]
--- a/internal/standin/store/meter.go
+++ b/internal/standin/store/meter.go
@@ -7,19 +7,19 @@
 	"golang.org/x/time/rate"
 )
 
-// meter limits and counts the calls of one kind.
+// meter limits and counts the calls of one kind, reads or writes.
 type meter struct {
 	limiter   *rate.Limiter
-	calls     uint64 // admitted
+	admitted  uint64
 	throttled uint64
 
-	second time.Time // start of the second that inSecond counts
-	count  uint64
-	peak   uint64 // most admitted calls in one second
+	windowStart   time.Time // start of the second that windowCalls counts
+	windowCalls   uint64
+	peakPerSecond uint64 // maximum of admitted calls in one second
 }
 
-// newMeter admits perSecond calls per second and as many at once, so that a
-// second's calls may come together.
+// newMeter returns a meter that admits perSecond calls per second. Its burst is also
+// perSecond, so that all calls of a second may arrive at the same time.
 func newMeter(perSecond int) meter {
 	return meter{limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond)}
 }
@@ -29,25 +29,25 @@
 		m.throttled++
 		return false
 	}
-	m.calls++
-	if second := now.Truncate(time.Second); !second.Equal(m.second) {
-		m.second, m.count = second, 0
+	m.admitted++
+	if second := now.Truncate(time.Second); !second.Equal(m.windowStart) {
+		m.windowStart, m.windowCalls = second, 0
 	}
-	m.count++
-	m.peak = max(m.peak, m.count)
+	m.windowCalls++
+	m.peakPerSecond = max(m.peakPerSecond, m.windowCalls)
 	return true
 }
 
 // stats are the counters of GET /stats.
 type stats struct {
-	revision       revision
-	writes, reads  meter
-	instanceCalls  uint64
-	watchesWaiting int
-	lostAnswers    uint64
-	refused        uint64 // calls closed without an answer while down
-	leases         int
-	fault          Fault
+	revision         revision
+	writes, reads    meter
+	instanceCalls    uint64
+	watchesWaiting   int
+	lostAnswers      uint64
+	refusedWhileDown uint64 // calls closed without an answer in ModeDown
+	leases           int
+	fault            Fault
 }
 
 func (s stats) encode() []byte {
@@ -58,16 +58,16 @@
 			value uint64
 		}{
 			{"revision", uint64(s.revision)},
-			{"writes", s.writes.calls},
+			{"writes", s.writes.admitted},
 			{"writes-throttled", s.writes.throttled},
-			{"writes-peak-per-second", s.writes.peak},
-			{"reads", s.reads.calls},
+			{"writes-peak-per-second", s.writes.peakPerSecond},
+			{"reads", s.reads.admitted},
 			{"reads-throttled", s.reads.throttled},
-			{"reads-peak-per-second", s.reads.peak},
+			{"reads-peak-per-second", s.reads.peakPerSecond},
 			{"instance-calls", s.instanceCalls},
 			{"watches-waiting", uint64(s.watchesWaiting)},
 			{"lost-answers", s.lostAnswers},
-			{"refused-while-down", s.refused},
+			{"refused-while-down", s.refusedWhileDown},
 			{"leases", uint64(s.leases)},
 		} {
 			e.Field(f.name, func(e *jx.Encoder) { e.UInt64(f.value) })
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,20 +1,19 @@
-// Package store is the test double of the platform's key-value store and
-// instance list. It keeps everything in memory and speaks the protocol of
-// section 12 of the design. A restart loses all data.
+// Package store is a test double of the platform's key-value store and instance list.
+// It implements the protocol of docs/design.md, section 12, and keeps all data in
+// memory, so that a restart loses it.
 //
-// Further calls:
+// Calls beyond that protocol:
 //
-//	PUT    /v1/instances        one entry of the instance list as JSON
-//	DELETE /v1/instances?name=  removes an entry
-//	GET    /stats               counters
+//	PUT    /v1/instances        adds or replaces an entry of the instance list, as JSON
+//	DELETE /v1/instances?name=  removes an entry of the instance list
+//	GET    /stats               returns counters
 //	POST   /faults?mode=ok|down|slow|lose-answers&delay-ms=&for-ms=
 //
-// A fault applies to the key-value store, not to the instance list, /stats and
-// /faults. The instance list is not metered. A change of the list becomes
-// visible after a lag.
+// Faults and metered rates apply to the key-value store only, not to the instance
+// list, /stats and /faults. A change of the instance list becomes visible after a lag.
 //
-// A deleted key shows up in the changes as an entry with an empty value and
-// "deleted":true, unless the reader asks for everything (after 0).
+// GET /v1/changes returns a deleted key as an entry with an empty value and
+// "deleted":true, unless the reader asks for all entries (after is 0).
 package store
 
 import (
@@ -28,12 +27,12 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/http1"
 )
 
-// Config describes a store. Zero values mean the defaults.
+// Config configures a store. Zero values select the defaults.
 type Config struct {
 	Listen          string        // "IP:port"; default 127.0.0.1:0
 	WritesPerSecond int           // default 400
 	ReadsPerSecond  int           // default 2000
-	Lag             time.Duration // of the instance list; default 2 s, negative: none
+	Lag             time.Duration // lag of the instance list; default 2 s, negative: no lag
 }
 
 // Defaults of Config.
@@ -44,43 +43,43 @@
 )
 
 const (
-	maxValue = 1 << 20
-	// maxWait is below the 60 s after which the server closes a connection
-	// without a further request.
-	maxWait      = 30 * time.Second
-	expiryPeriod = 10 * time.Millisecond
+	maxValueBytes = 1 << 20
+	// maxWatchWait is shorter than the 60 s after which the server closes a
+	// connection on which no further request arrives.
+	maxWatchWait       = 30 * time.Second
+	leaseCheckInterval = 10 * time.Millisecond
 )
 
-// Mode says how the store fails.
+// Mode is the way in which the store fails.
 type Mode string
 
-// Modes of failure.
+// Modes of faults.
 const (
 	ModeOK          Mode = "ok"
-	ModeDown        Mode = "down"         // calls are closed without an answer and have no effect
+	ModeDown        Mode = "down"         // connections are closed without an answer; calls have no effect
 	ModeSlow        Mode = "slow"         // calls are delayed before they take effect
-	ModeLoseAnswers Mode = "lose-answers" // writes take effect and are closed without an answer
+	ModeLoseAnswers Mode = "lose-answers" // writes take effect, then their connections are closed without an answer
 )
 
-// Fault is a way to fail.
+// Fault is a failure of the key-value store, or with ModeOK the end of one.
 type Fault struct {
 	Mode  Mode
-	Delay time.Duration // of ModeSlow
-	For   time.Duration // 0: until the next fault is set
+	Delay time.Duration // for ModeSlow
+	For   time.Duration // how long the fault lasts; 0: until the next fault is set
 }
 
 // Server is a running store.
 type Server struct {
-	http *http1.Server
+	api  *http1.Server
 	stop chan struct{}
 	done chan struct{}
 
 	mu         sync.Mutex
 	table      *table
-	instances  *instances
+	instances  *laggedList
 	stats      stats
-	changed    chan struct{} // closed and replaced at each write and fault
-	faultUntil time.Time     // zero: no end
+	changed    chan struct{} // closed and replaced at each change of the table or the fault
+	faultUntil time.Time     // zero: until the fault is replaced
 }
 
 // Start starts a store.
@@ -99,11 +98,11 @@
 	}
 	s := &Server{
 		stop: make(chan struct{}), done: make(chan struct{}),
-		table: newTable(), instances: newInstances(cfg.Lag), changed: make(chan struct{}),
+		table: newTable(), instances: newLaggedList(cfg.Lag), changed: make(chan struct{}),
 		stats: stats{writes: newMeter(cfg.WritesPerSecond), reads: newMeter(cfg.ReadsPerSecond), fault: Fault{Mode: ModeOK}},
 	}
 	var err error
-	if s.http, err = http1.Listen(http1.ServerConfig{Addr: cfg.Listen, Handler: s.handler()}); err != nil {
+	if s.api, err = http1.Listen(http1.ServerConfig{Addr: cfg.Listen, Handler: s.handler()}); err != nil {
 		return nil, errors.Wrap(err, "start store")
 	}
 	go s.expireLeases()
@@ -111,7 +110,7 @@
 }
 
 // Addr returns the address that the store listens on.
-func (s *Server) Addr() string { return s.http.Addr() }
+func (s *Server) Addr() string { return s.api.Addr() }
 
 // Close stops the store.
 func (s *Server) Close() {
@@ -122,12 +121,12 @@
 		close(s.stop)
 	}
 	<-s.done
-	s.http.Close()
+	s.api.Close()
 }
 
 func (s *Server) expireLeases() {
 	defer close(s.done)
-	tick := time.NewTicker(expiryPeriod)
+	tick := time.NewTicker(leaseCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -136,14 +135,14 @@
 		case now := <-tick.C:
 			s.mu.Lock()
 			if s.table.expire(now) {
-				s.notify()
+				s.wakeWatches()
 			}
 			s.mu.Unlock()
 		}
 	}
 }
 
-// SetFault replaces the current fault. Going down ends waiting watches.
+// SetFault replaces the current fault. ModeDown ends the waiting watches.
 func (s *Server) SetFault(now time.Time, f Fault) error {
 	switch f.Mode {
 	case ModeOK, ModeDown, ModeSlow, ModeLoseAnswers:
@@ -156,39 +155,42 @@
 	if f.For > 0 {
 		s.faultUntil = now.Add(f.For)
 	}
-	s.notify()
+	s.wakeWatches()
 	return nil
 }
 
-// fault returns the current fault. The caller holds the lock.
-func (s *Server) fault(now time.Time) Fault {
+// currentFault returns the current fault, or ModeOK after its end. The caller holds
+// s.mu.
+func (s *Server) currentFault(now time.Time) Fault {
 	if !s.faultUntil.IsZero() && !now.Before(s.faultUntil) {
 		s.stats.fault, s.faultUntil = Fault{Mode: ModeOK}, time.Time{}
 	}
 	return s.stats.fault
 }
 
-// notify wakes the watches. The caller holds the lock.
-func (s *Server) notify() {
+// wakeWatches makes the waiting watches check for changes and faults. The caller
+// holds s.mu.
+func (s *Server) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// kind says which meter a call counts against.
-type kind int
+// callKind selects the meter that counts and limits a call.
+type callKind int
 
 const (
-	kindRead kind = iota
+	kindRead callKind = iota
 	kindWrite
 )
 
-// errNoAnswer makes the server close the connection instead of answering.
+// errNoAnswer makes the server close the connection without an answer.
 var errNoAnswer = errors.New("no answer")
 
-// begin applies the fault and the meter to a call before it takes effect.
-func (s *Server) begin(ctx context.Context, k kind) error {
+// admitCall applies the current fault and the meter to a call before the call takes
+// effect.
+func (s *Server) admitCall(ctx context.Context, k callKind) error {
 	s.mu.Lock()
-	f := s.fault(time.Now())
+	f := s.currentFault(time.Now())
 	s.mu.Unlock()
 	if f.Mode == ModeSlow {
 		if err := sleep(ctx, f.Delay); err != nil {
@@ -198,8 +200,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.fault(now).Mode == ModeDown {
-		s.stats.refused++
+	if s.currentFault(now).Mode == ModeDown {
+		s.stats.refusedWhileDown++
 		return errNoAnswer
 	}
 	m := &s.stats.reads
@@ -210,57 +212,58 @@
 		return &statusError{status: http.StatusTooManyRequests, detail: "over the metered rate"}
 	}
 	if s.table.expire(now) {
-		s.notify()
+		s.wakeWatches()
 	}
 	return nil
 }
 
-// write runs f under the lock and loses its answer if the fault says so.
-func (s *Server) write(ctx context.Context, f func(now time.Time) (answer, error)) (answer, error) {
-	if err := s.begin(ctx, kindWrite); err != nil {
+// runWrite runs apply under the lock. With ModeLoseAnswers it discards the answer.
+func (s *Server) runWrite(ctx context.Context, apply func(now time.Time) (answer, error)) (answer, error) {
+	if err := s.admitCall(ctx, kindWrite); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	before := s.table.revision
-	res, err := f(now)
+	res, err := apply(now)
 	if s.table.revision != before {
-		s.notify()
+		s.wakeWatches()
 	}
-	if s.fault(now).Mode == ModeLoseAnswers {
+	if s.currentFault(now).Mode == ModeLoseAnswers {
 		s.stats.lostAnswers++
 		return nil, errNoAnswer
 	}
 	return res, err
 }
 
-// watch returns the changes after a revision, and waits for one if there is none.
+// watch returns the changes after a revision. If there are none, it waits for the next
+// change for up to wait.
 func (s *Server) watch(ctx context.Context, prefix string, after revision, wait time.Duration) (answer, error) {
-	if err := s.begin(ctx, kindRead); err != nil {
+	if err := s.admitCall(ctx, kindRead); err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(min(wait, maxWait))
+	timer := time.NewTimer(min(wait, maxWatchWait))
 	defer timer.Stop()
-	for ended := wait <= 0; ; {
+	for timedOut := wait <= 0; ; {
 		s.mu.Lock()
-		a := changes{revision: s.table.revision, entries: s.table.changes(prefix, after)}
-		changed, down := s.changed, s.fault(time.Now()).Mode == ModeDown
-		if !down && !ended && len(a.entries) == 0 {
+		a := changesAnswer{revision: s.table.revision, entries: s.table.changes(prefix, after)}
+		changed, down := s.changed, s.currentFault(time.Now()).Mode == ModeDown
+		if !down && !timedOut && len(a.entries) == 0 {
 			s.stats.watchesWaiting++
 		}
 		s.mu.Unlock()
 		switch {
 		case down:
 			return nil, errNoAnswer
-		case ended || len(a.entries) > 0:
+		case timedOut || len(a.entries) > 0:
 			return a, nil
 		}
 		var err error
 		select {
 		case <-changed:
 		case <-timer.C:
-			ended = true
+			timedOut = true
 		case <-ctx.Done():
 			err = errNoAnswer
 		case <-s.stop:
--- a/internal/standin/store/store_test.go
+++ b/internal/standin/store/store_test.go
@@ -19,7 +19,7 @@
 	pool   *http1.Pool
 }
 
-func start(t *testing.T, cfg Config) harness {
+func startStore(t *testing.T, cfg Config) harness {
 	t.Helper()
 	s, err := Start(cfg)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return harness{T: t, server: s, pool: client.NewPool(s.Addr(), http1.PoolConfig{})}
 }
 
-// call sends "METHOD target" and returns status and body.
+// call sends a request, with line in the form "METHOD target", and returns the status
+// and the body of the answer.
 func (h harness) call(line, body string) (int, string, error) {
 	ctx, cancel := context.WithTimeout(h.Context(), 5*time.Second)
 	defer cancel()
@@ -63,7 +64,7 @@
 	return h.server.stats
 }
 
-func (h harness) until(condition func() bool) {
+func (h harness) waitUntil(condition func() bool) {
 	h.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -72,9 +73,9 @@
 	}
 }
 
-// Guards against answers that differ from section 12 of the design.
+// TestProtocol guards against answers that differ from docs/design.md, section 12.
 func TestProtocol(t *testing.T) {
-	h := start(t, Config{})
+	h := startStore(t, Config{})
 	h.expect("GET /v1/changes?prefix=a", "", 200, `{"revision":0,"entries":[]}`)
 	h.expect("PUT /v1/kv?key=a/1&expect=0", "x", 200, `{"revision":1}`)
 	h.expect("PUT /v1/kv?key=b&expect=0", "", 200, `{"revision":2}`)
@@ -84,32 +85,33 @@
 	h.expect("GET /v1/changes?prefix=a", "", 200, `{"revision":3,"entries":[{"key":"a/1","value":"eQ==","revision":3}]}`)
 	h.expect("GET /v1/changes?prefix=&after=3", "", 200, `{"revision":3,"entries":[]}`)
 	h.expect("PUT /v1/kv?key=c&lease=9", "", 404, `{"error":"no lease \"9\""}`)
-	big := strings.Repeat("x", maxValue)
+	big := strings.Repeat("x", maxValueBytes)
 	h.expect("PUT /v1/kv?key=big", big, 200, `{"revision":4}`)
 	h.expect("PUT /v1/kv?key=big&expect=4", big+"x", 413, `{"error":"value of 1048577 bytes, limit 1048576"}`)
 }
 
-// Guards against a watch that misses a change, ends early or hangs in an outage.
+// TestWatch guards against a watch that misses a change, ends early, or still waits
+// after the store has gone down.
 func TestWatch(t *testing.T) {
-	h := start(t, Config{})
+	h := startStore(t, Config{})
 	h.expect("GET /v1/changes?prefix=a&wait-ms=20", "", 200, `{"revision":0,"entries":[]}`)
-	woken := make(chan string, 1)
+	watchResults := make(chan string, 1)
 	watch := func() {
 		_, body, err := h.call("GET /v1/changes?prefix=a&wait-ms=4000", "")
 		if err != nil {
 			body = err.Error()
 		}
-		woken <- body
+		watchResults <- body
 	}
 	go watch()
-	h.until(func() bool { return h.stats().watchesWaiting == 1 })
+	h.waitUntil(func() bool { return h.stats().watchesWaiting == 1 })
 	h.expect("PUT /v1/kv?key=other", "", 200, `{"revision":1}`)
 	h.expect("PUT /v1/kv?key=a", "", 200, `{"revision":2}`)
-	if diff := cmp.Diff(`{"revision":2,"entries":[{"key":"a","value":"","revision":2}]}`, <-woken); diff != "" {
+	if diff := cmp.Diff(`{"revision":2,"entries":[{"key":"a","value":"","revision":2}]}`, <-watchResults); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(uint64(2), h.stats().reads.calls); diff != "" {
-		t.Errorf("a waiting watch is one call: %s", diff)
+	if diff := cmp.Diff(uint64(2), h.stats().reads.admitted); diff != "" {
+		t.Errorf("reads counted, one for each watch: %s", diff)
 	}
 	go func() {
 		_, _, err := h.call("GET /v1/changes?prefix=a&after=2&wait-ms=4000", "")
@@ -117,16 +119,17 @@
 		if !errors.As(err, &lost) || errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("watch in an outage: %v, want a closed connection", err)
 		}
-		woken <- ""
+		watchResults <- ""
 	}()
-	h.until(func() bool { return h.stats().watchesWaiting == 1 })
+	h.waitUntil(func() bool { return h.stats().watchesWaiting == 1 })
 	h.expect("POST /faults?mode=down", "", 200, "{}")
-	<-woken
+	<-watchResults
 }
 
-// Guards against a lease that ends early, late or without its keys' deletion.
+// TestLeases guards against a lease that ends early or late, or that does not delete
+// its keys when it ends.
 func TestLeases(t *testing.T) {
-	h := start(t, Config{})
+	h := startStore(t, Config{})
 	h.expect("POST /v1/leases?ttl-ms=60000", "", 200, `{"lease":"1","ttl-ms":60000}`)
 	h.expect("PUT /v1/kv?key=kept&lease=1", "", 200, `{"revision":1}`)
 	h.expect("PUT /v1/kv?key=kept&expect=1", "", 200, `{"revision":2}`)
@@ -154,7 +157,8 @@
 	}
 }
 
-// Guards against calls over the metered rate that are admitted or not counted.
+// TestMetering guards against calls over the metered rate that are admitted, or that
+// are not counted as throttled.
 func TestMetering(t *testing.T) {
 	now := time.Unix(0, 0)
 	m := newMeter(2)
@@ -165,27 +169,27 @@
 	if diff := cmp.Diff([]bool{true, true, false, false, true, true}, got); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]uint64{4, 2, 3}, []uint64{m.calls, m.throttled, m.peak}); diff != "" {
+	if diff := cmp.Diff([]uint64{4, 2, 3}, []uint64{m.admitted, m.throttled, m.peakPerSecond}); diff != "" {
 		t.Error(diff)
 	}
 
-	h := start(t, Config{WritesPerSecond: 1, ReadsPerSecond: 1})
+	h := startStore(t, Config{WritesPerSecond: 1, ReadsPerSecond: 1})
 	throttled := func(line string) func() bool {
 		return func() bool { status, _, err := h.call(line, ""); return err == nil && status == 429 }
 	}
-	h.until(throttled("POST /v1/leases?ttl-ms=60000"))
-	h.until(throttled("GET /v1/changes"))
+	h.waitUntil(throttled("POST /v1/leases?ttl-ms=60000"))
+	h.waitUntil(throttled("GET /v1/changes"))
 	st := h.stats()
-	if st.writes.calls == 0 || st.writes.throttled != 1 || st.reads.calls == 0 || st.reads.throttled != 1 {
+	if st.writes.admitted == 0 || st.writes.throttled != 1 || st.reads.admitted == 0 || st.reads.throttled != 1 {
 		t.Errorf("writes %+v, reads %+v", st.writes, st.reads)
 	}
-	st.leases = int(st.writes.calls)
+	st.leases = int(st.writes.admitted)
 	h.expect("GET /stats", "", 200, string(st.encode()))
 }
 
-// Guards against faults that change the wrong calls or do not end.
+// TestFaults guards against faults that affect the wrong calls or do not end.
 func TestFaults(t *testing.T) {
-	h := start(t, Config{})
+	h := startStore(t, Config{})
 	h.expect("POST /faults?mode=odd", "", 400, `{"error":"mode \"odd\", want ok, down, slow or lose-answers"}`)
 	h.expect("POST /faults?mode=lose-answers", "", 200, "{}")
 	if status, _, err := h.call("PUT /v1/kv?key=a", "x"); err == nil {
@@ -197,7 +201,7 @@
 		t.Errorf("status %d, want a closed connection", status)
 	}
 	h.expect("GET /v1/instances", "", 200, "[]")
-	h.until(func() bool { _, _, err := h.call("GET /v1/changes", ""); return err == nil })
+	h.waitUntil(func() bool { _, _, err := h.call("GET /v1/changes", ""); return err == nil })
 	h.expect("PUT /v1/kv?key=b", "", 200, `{"revision":2}`)
 	h.expect("POST /faults?mode=slow&delay-ms=100", "", 200, "{}")
 	begin := time.Now()
@@ -207,21 +211,22 @@
 	}
 }
 
-// Guards against a list that shows changes early, late or out of order.
+// TestInstanceListLags guards against an instance list that shows changes early, late
+// or out of order.
 func TestInstanceListLags(t *testing.T) {
 	now := time.Unix(0, 0)
-	l := newInstances(2 * time.Second)
+	l := newLaggedList(2 * time.Second)
 	u := platform.Listed{Name: "u", Kind: platform.KindUpstream, State: platform.StateLive}
-	l.change(instanceChange{at: now, listed: u})
-	l.change(instanceChange{at: now.Add(time.Second), listed: platform.Listed{Name: "u"}, remove: true})
+	l.addChange(instanceChange{at: now, listed: u})
+	l.addChange(instanceChange{at: now.Add(time.Second), listed: platform.Listed{Name: "u"}, remove: true})
 	var got []int
 	for _, after := range []time.Duration{0, 1999, 2000, 2999, 3000} {
-		got = append(got, len(l.list(now.Add(after*time.Millisecond))))
+		got = append(got, len(l.visibleAt(now.Add(after*time.Millisecond))))
 	}
 	if diff := cmp.Diff([]int{0, 0, 1, 1, 0}, got); diff != "" {
 		t.Error(diff)
 	}
-	h := start(t, Config{Lag: -1})
+	h := startStore(t, Config{Lag: -1})
 	entry := `{"name":"u","kind":"upstream","service":"","address":"","zone":"","state":"live","boot":""}`
 	h.expect("PUT /v1/instances", entry, 200, "{}")
 	h.expect("GET /v1/instances", "", 200, "["+entry+"]")
--- a/internal/standin/store/table.go
+++ b/internal/standin/store/table.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// revision numbers the writes to all keys, from 1.
+// revision is the number of a write, counted from 1 across all keys.
 type revision uint64
 
-// table holds the keys and leases. It has no clock and no lock.
+// table holds the keys and leases. Its callers pass the time and serialize access.
 type table struct {
 	revision  revision // of the last write
 	entries   map[string]entry
@@ -31,28 +31,29 @@
 type leaseID string
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
-	keys map[string]bool
+	ttl       time.Duration
+	expiresAt time.Time
+	keys      map[string]bool
 }
 
 func newTable() *table {
 	return &table{entries: make(map[string]entry), leases: make(map[leaseID]*lease)}
 }
 
-// current returns the revision of the key, 0 if it does not exist.
-func (t *table) current(key string) revision {
+// currentRevision returns the revision of the key, or 0 if the key does not exist.
+func (t *table) currentRevision(key string) revision {
 	if e, ok := t.entries[key]; ok && !e.deleted {
 		return e.revision
 	}
 	return 0
 }
 
-// put stores value if the key is at revision expect. The lease, if any, must
-// exist. A write without a lease detaches the key from its old one.
+// put stores value if the key is at revision expect, and attaches the key to the lease
+// id, which must exist. With an empty id the key is attached to no lease. If the
+// revision differs, put returns the key's revision and false.
 func (t *table) put(key string, expect revision, value []byte, id leaseID) (rev revision, ok bool) {
-	if t.current(key) != expect {
-		return t.current(key), false
+	if t.currentRevision(key) != expect {
+		return t.currentRevision(key), false
 	}
 	t.detach(key)
 	if id != "" {
@@ -63,14 +64,16 @@
 	return t.revision, true
 }
 
+// detach removes the key from the lease that it is attached to.
 func (t *table) detach(key string) {
 	if l := t.leases[t.entries[key].lease]; l != nil {
 		delete(l.keys, key)
 	}
 }
 
-// changes returns the entries under prefix that are later than after, in
-// revision order. A reader from the start needs no tombstones.
+// changes returns the entries with the key prefix whose revision is greater than
+// after, in the order of their revisions. With after 0 it omits the tombstones,
+// because the reader knows no keys yet.
 func (t *table) changes(prefix string, after revision) []entry {
 	var out []entry
 	for key, e := range t.entries {
@@ -85,20 +88,22 @@
 func (t *table) addLease(now time.Time, ttl time.Duration) leaseID {
 	t.nextLease++
 	id := leaseID(strconv.FormatUint(t.nextLease, 10))
-	t.leases[id] = &lease{ttl: ttl, ends: now.Add(ttl), keys: make(map[string]bool)}
+	t.leases[id] = &lease{ttl: ttl, expiresAt: now.Add(ttl), keys: make(map[string]bool)}
 	return id
 }
 
-// renew starts the lease's TTL anew. An ended lease cannot be renewed.
+// renew restarts the TTL of a lease. It returns false if the lease does not exist,
+// such as one that has ended.
 func (t *table) renew(now time.Time, id leaseID) bool {
 	l, ok := t.leases[id]
 	if ok {
-		l.ends = now.Add(l.ttl)
+		l.expiresAt = now.Add(l.ttl)
 	}
 	return ok
 }
 
-// endLease deletes the lease and its keys, each with a revision of its own.
+// endLease deletes a lease and its keys. The deletion of each key gets a revision of
+// its own. endLease returns false if the lease does not exist.
 func (t *table) endLease(id leaseID) bool {
 	l, ok := t.leases[id]
 	if !ok {
@@ -117,11 +122,12 @@
 	return true
 }
 
-// expire ends the leases whose time has passed and reports whether keys changed.
+// expire ends the leases whose TTL has passed at now and reports whether that deleted
+// any keys.
 func (t *table) expire(now time.Time) (changed bool) {
 	before := t.revision
 	for id, l := range t.leases {
-		if !now.Before(l.ends) {
+		if !now.Before(l.expiresAt) {
 			t.endLease(id)
 		}
 	}
