--- a/internal/standin/upstream/control.go
+++ b/internal/standin/upstream/control.go
@@ -10,36 +10,37 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Control is what dispatchers have told an upstream. An unfenced one accepts
-// every call and checks nothing.
+// Control is the state that dispatchers set on an upstream: the dispatcher fence, the
+// lease and the grants. An unfenced upstream accepts every call and checks nothing.
 type Control struct {
-	unfenced   bool
-	dispatcher fleet.Fence    // highest seen
-	leaseEnd   dispatch.Stamp // 0: no lease
-	grants     map[fleet.Unit]fleet.Fence
-	floors     map[fleet.Unit]fleet.Fence // highest revoked; a delayed grant is not above it
+	unfenced      bool
+	dispatcher    fleet.Fence    // highest dispatcher fence seen
+	leaseEnd      dispatch.Stamp // 0: no lease
+	grants        map[fleet.Unit]fleet.Fence
+	revokedFences map[fleet.Unit]fleet.Fence // highest revoked fence; grants that are not above it are delayed ones and rejected
 }
 
-// NewControl returns the state of an upstream that has just started.
+// NewControl returns the state of an upstream that has just started: no lease and no
+// grants.
 func NewControl(unfenced bool) Control {
-	return Control{unfenced: unfenced, grants: make(map[fleet.Unit]fleet.Fence), floors: make(map[fleet.Unit]fleet.Fence)}
+	return Control{unfenced: unfenced, grants: make(map[fleet.Unit]fleet.Fence), revokedFences: make(map[fleet.Unit]fleet.Fence)}
 }
 
-// lapse drops all grants if the lease has ended.
-func (c *Control) lapse(now dispatch.Stamp) {
+// expireLease drops the lease and all grants if the lease has ended at now.
+func (c *Control) expireLease(now dispatch.Stamp) {
 	if c.leaseEnd != 0 && now >= c.leaseEnd {
 		c.leaseEnd = 0
 		clear(c.grants)
 	}
 }
 
-// Apply executes a call and reports whether it was accepted.
+// Apply executes a dispatcher's call at time now and reports whether it was accepted.
 func (c *Control) Apply(now dispatch.Stamp, call dispatch.Call) bool {
 	if c.unfenced {
 		c.dispatcher = max(c.dispatcher, call.DispatcherFence)
 		return true
 	}
-	c.lapse(now)
+	c.expireLease(now)
 	if call.Kind == dispatch.Hello {
 		if call.DispatcherFence < c.dispatcher {
 			return false
@@ -74,7 +75,7 @@
 		return false
 	}
 	for _, g := range grants {
-		if g.Fence <= c.floors[g.Unit] || g.Fence < c.grants[g.Unit] {
+		if g.Fence <= c.revokedFences[g.Unit] || g.Fence < c.grants[g.Unit] {
 			return false
 		}
 	}
@@ -86,7 +87,7 @@
 
 func (c *Control) revoke(grants []fleet.Grant) {
 	for _, g := range grants {
-		c.floors[g.Unit] = max(c.floors[g.Unit], g.Fence)
+		c.revokedFences[g.Unit] = max(c.revokedFences[g.Unit], g.Fence)
 		if c.grants[g.Unit] <= g.Fence {
 			delete(c.grants, g.Unit)
 		}
@@ -99,7 +100,8 @@
 // LeaseEnd returns the end of the lease, or 0 if there is none.
 func (c *Control) LeaseEnd() dispatch.Stamp { return c.leaseEnd }
 
-// Holds reports whether a request for the unit under the fence may run.
+// Holds reports whether the upstream owns the unit under exactly this fence, so that a
+// request may run.
 func (c *Control) Holds(now dispatch.Stamp, unit fleet.Unit, fence fleet.Fence) bool {
 	if c.unfenced {
 		return true
@@ -108,20 +110,22 @@
 	return ok && held == fence
 }
 
-// Held returns the fence under which the upstream owns the unit.
+// Held returns the fence under which the upstream owns the unit, or false if it does
+// not own it.
 func (c *Control) Held(now dispatch.Stamp, unit fleet.Unit) (fleet.Fence, bool) {
-	c.lapse(now)
+	c.expireLease(now)
 	held, ok := c.grants[unit]
 	return held, ok
 }
 
-var kinds = map[string]dispatch.CallKind{
+// callKinds maps the last path segment of a control call's URL to its kind.
+var callKinds = map[string]dispatch.CallKind{
 	"hello": dispatch.Hello, "renew": dispatch.Renew, "grant": dispatch.GrantUnits, "revoke": dispatch.RevokeUnits,
 }
 
 func (s *Server) serveControl(w http.ResponseWriter, r *http.Request) {
-	s.connect(r.RemoteAddr)
-	kind, ok := kinds[r.PathValue("kind")]
+	s.delayNewConn(r.RemoteAddr)
+	kind, ok := callKinds[r.PathValue("kind")]
 	if !ok {
 		http.NotFound(w, r)
 		return
@@ -137,12 +141,12 @@
 		return
 	}
 	s.mu.Lock()
-	now := s.stamp()
+	now := s.clock()
 	accepted := s.control.Apply(now, call)
 	reply := dispatch.Reply{Boot: s.boot, Stamp: now, Fence: s.control.dispatcher, Running: s.running - s.runningBy[s.control.dispatcher]}
-	f := s.faults.at(time.Now())
+	f := s.faults.activeAt(time.Now())
 	s.mu.Unlock()
-	f.delayAnswer(r.Context())
+	f.delayResponse(r.Context())
 	w.Header().Set("Content-Type", "application/json")
 	if !accepted {
 		w.WriteHeader(http.StatusConflict)
--- a/internal/standin/upstream/execute.go
+++ b/internal/standin/upstream/execute.go
@@ -15,8 +15,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// incoming is a request as its headers describe it.
-type incoming struct {
+// requestInfo holds the values of a request's headers.
+type requestInfo struct {
 	id         fleet.RequestID
 	clientID   string
 	account    fleet.AccountID
@@ -25,17 +25,17 @@
 	fence      fleet.Fence
 	dispatcher fleet.Fence
 	deadline   time.Time
-	startBy    time.Time // on the wall clock
+	startBy    time.Time // wall-clock time after which the request must not start
 }
 
-// headerClientID is the load generator's own id of a request.
+// headerClientID is the header with the load generator's own request id.
 const headerClientID = "X-Client-Id"
 
-// maxDeadline bounds what a caller can ask for.
+// maxDeadline is the maximum time that a request can be given to finish.
 const maxDeadline = time.Hour
 
-func parse(now time.Time, service fleet.ServiceID, r *http.Request) (incoming, error) {
-	in := incoming{
+func parseRequest(now time.Time, service fleet.ServiceID, r *http.Request) (requestInfo, error) {
+	in := requestInfo{
 		id: fleet.RequestID(r.Header.Get(fleet.HeaderRequestID)), clientID: r.Header.Get(headerClientID),
 		account: fleet.AccountID(r.Header.Get(fleet.HeaderAccount)), unit: fleet.Unit{Service: service},
 	}
@@ -74,7 +74,8 @@
 	return in, number(fleet.HeaderStartBy, func(n uint64) { in.startBy = time.UnixMilli(int64(n)) })
 }
 
-// routingKey finds the routing key where the load generator puts it.
+// routingKey returns the routing key of a request from any of the places where the
+// load generator puts it: the pin, the header, the query or the last path segment.
 func routingKey(r *http.Request, unit fleet.Unit) fleet.RoutingKey {
 	for _, k := range []string{string(unit.Pin), r.Header.Get("X-Routing-Key"), r.URL.Query().Get("key")} {
 		if k != "" {
@@ -84,54 +85,54 @@
 	return fleet.RoutingKey(path.Base(r.URL.Path))
 }
 
-// answer is a response before a fault changes it.
-type answer struct {
+// response is the response to a request before faults are applied.
+type response struct {
 	status int
 	notRun bool
 	detail string
-	in     incoming
+	in     requestInfo
 }
 
-func refuse(in incoming, status int, detail string) *answer {
-	return &answer{status: status, notRun: true, detail: detail, in: in}
+func refuse(in requestInfo, status int, detail string) *response {
+	return &response{status: status, notRun: true, detail: detail, in: in}
 }
 
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
-	s.connect(r.RemoteAddr)
-	_, _ = io.Copy(io.Discard, r.Body) // trailers arrive after the body
-	s.searchSecrets(r)
+	s.delayNewConn(r.RemoteAddr)
+	_, _ = io.Copy(io.Discard, r.Body) // trailers can be read only after the body
+	s.recordSecrets(r)
 	now := time.Now()
-	in, err := parse(now, s.cfg.Service, r)
+	in, err := parseRequest(now, s.cfg.Service, r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	a := s.execute(r.Context(), now, in)
+	res := s.execute(r.Context(), now, in)
 	s.mu.Lock()
-	f := s.faults.at(time.Now())
-	if f.mode == modeCross {
-		a, s.faults.previous = s.faults.cross(a), a
+	f := s.faults.activeAt(time.Now())
+	if f.mode == modeCrossed {
+		res, s.faults.previous = s.faults.swapPrevious(res), res
 	}
 	s.mu.Unlock()
-	f.delayAnswer(r.Context())
-	s.write(w, a, f)
+	f.delayResponse(r.Context())
+	s.writeResponse(w, res, f)
 }
 
-// cross returns the previous response in place of a.
-func (f *faults) cross(a *answer) *answer {
+// swapPrevious returns the previous response, or res if there is none.
+func (f *faultState) swapPrevious(res *response) *response {
 	if f.previous != nil {
 		return f.previous
 	}
-	return a
+	return res
 }
 
-// execute runs a request and returns its response.
-func (s *Server) execute(ctx context.Context, now time.Time, in incoming) *answer {
-	took, refused := s.start(now, in)
-	if refused != nil {
-		return refused
+// execute runs a request for its service time and returns the response.
+func (s *Server) execute(ctx context.Context, now time.Time, in requestInfo) *response {
+	runTime, refusal := s.startRequest(now, in)
+	if refusal != nil {
+		return refusal
 	}
-	timer := time.NewTimer(took)
+	timer := time.NewTimer(runTime)
 	defer timer.Stop()
 	deadline := time.NewTimer(time.Until(in.deadline))
 	defer deadline.Stop()
@@ -140,29 +141,32 @@
 	case <-deadline.C:
 	case <-ctx.Done():
 	}
-	return s.finish(ctx, in)
+	return s.finishRequest(ctx, in)
 }
 
-// start checks a request and takes a slot.
-func (s *Server) start(now time.Time, in incoming) (time.Duration, *answer) {
+// startRequest checks a request and occupies a slot. It returns the time that the
+// request takes, or a response that refuses the request.
+func (s *Server) startRequest(now time.Time, in requestInfo) (time.Duration, *response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.admit(now, in); a != nil {
-		s.record(record{event: "refuse", detail: a.detail, in: in})
-		return 0, a
+	if refusal := s.checkAdmission(now, in); refusal != nil {
+		s.writeRecord(historyRecord{event: "refuse", detail: refusal.detail, in: in})
+		return 0, refusal
 	}
-	s.warmth.advance(now, s.running)
+	s.warmUp.advance(now, s.running)
 	s.running++
 	s.runningBy[in.dispatcher]++
-	s.warmth.advance(now, s.running)
-	if s.warmth.check(now, s.running) {
-		s.record(record{event: "overload", in: in})
+	s.warmUp.advance(now, s.running)
+	if s.warmUp.checkOverload(now, s.running) {
+		s.writeRecord(historyRecord{event: "overload", in: in})
 	}
-	s.record(record{event: "start", in: in})
+	s.writeRecord(historyRecord{event: "start", in: in})
 	return s.serviceTime(now), nil
 }
 
-func (s *Server) admit(now time.Time, in incoming) *answer {
+// checkAdmission returns a response that refuses the request, or nil if the request
+// may start.
+func (s *Server) checkAdmission(now time.Time, in requestInfo) *response {
 	switch {
 	case s.draining:
 		return refuse(in, http.StatusServiceUnavailable, "draining")
@@ -172,9 +176,9 @@
 		return refuse(in, http.StatusGatewayTimeout, "start-by time passed")
 	case !s.control.unfenced && in.dispatcher != s.control.dispatcher:
 		return refuse(in, http.StatusConflict, "other dispatcher fence")
-	case !s.control.Holds(s.stamp(), in.unit, in.fence):
+	case !s.control.Holds(s.clock(), in.unit, in.fence):
 		return refuse(in, http.StatusConflict, "no such grant or lease")
-	case s.faults.at(now).mode == modeShed:
+	case s.faults.activeAt(now).mode == modeShed:
 		return refuse(in, http.StatusServiceUnavailable, "shed")
 	case s.running >= s.cfg.Slots:
 		return refuse(in, http.StatusServiceUnavailable, "no free slot")
@@ -182,6 +186,8 @@
 	return nil
 }
 
+// serviceTime returns the randomized time that a request takes, including the
+// slowdown of a cold or overloaded upstream.
 func (s *Server) serviceTime(now time.Time) time.Duration {
 	d := s.cfg.ServiceTime
 	if s.rng.Float64() < s.cfg.StraggleProbability {
@@ -189,62 +195,64 @@
 	} else {
 		d = time.Duration(float64(d) * (0.5 + s.rng.Float64()))
 	}
-	return time.Duration(float64(d) * s.warmth.slowdown(now))
+	return time.Duration(float64(d) * s.warmUp.slowdown(now))
 }
 
-// finish checks again, has the effect and frees the slot.
-func (s *Server) finish(ctx context.Context, in incoming) *answer {
+// finishRequest repeats the checks that may have changed while the request ran,
+// records the effect, and frees the slot.
+func (s *Server) finishRequest(ctx context.Context, in requestInfo) *response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	a := &answer{status: http.StatusOK, in: in}
+	res := &response{status: http.StatusOK, in: in}
 	switch {
 	case ctx.Err() != nil:
-		a = refuse(in, http.StatusServiceUnavailable, "cancelled")
+		res = refuse(in, http.StatusServiceUnavailable, "cancelled")
 	case !now.Before(in.deadline):
-		a = refuse(in, http.StatusGatewayTimeout, "deadline passed")
-	case !s.control.Holds(s.stamp(), in.unit, in.fence):
-		a = refuse(in, http.StatusConflict, "grant or lease ended")
-	case s.warmth.broken(now):
-		a = &answer{status: http.StatusServiceUnavailable, detail: "overloaded", in: in}
+		res = refuse(in, http.StatusGatewayTimeout, "deadline passed")
+	case !s.control.Holds(s.clock(), in.unit, in.fence):
+		res = refuse(in, http.StatusConflict, "grant or lease ended")
+	case s.warmUp.overloaded(now):
+		res = &response{status: http.StatusServiceUnavailable, detail: "overloaded", in: in}
 	default:
-		s.record(record{event: "effect", in: in})
+		s.writeRecord(historyRecord{event: "effect", in: in})
 	}
-	if a.notRun {
-		s.record(record{event: "refuse", detail: a.detail, in: in})
+	if res.notRun {
+		s.writeRecord(historyRecord{event: "refuse", detail: res.detail, in: in})
 	}
-	s.warmth.advance(now, s.running-1)
-	s.record(record{event: "end", detail: a.detail, in: in})
+	s.warmUp.advance(now, s.running-1)
+	s.writeRecord(historyRecord{event: "end", detail: res.detail, in: in})
 	s.running--
 	if s.runningBy[in.dispatcher]--; s.runningBy[in.dispatcher] == 0 {
 		delete(s.runningBy, in.dispatcher)
 	}
-	return a
+	return res
 }
 
-func (s *Server) write(w http.ResponseWriter, a *answer, f fault) {
+func (s *Server) writeResponse(w http.ResponseWriter, res *response, f activeFault) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(fleet.HeaderRequestID, string(a.in.id))
+	h.Set(fleet.HeaderRequestID, string(res.in.id))
 	h.Set(fleet.HeaderBoot, string(s.boot))
-	if a.in.clientID != "" {
-		h.Set(headerClientID, a.in.clientID)
+	if res.in.clientID != "" {
+		h.Set(headerClientID, res.in.clientID)
 	}
-	if a.notRun {
+	if res.notRun {
 		h.Set(fleet.HeaderOutcome, string(fleet.NotRun))
 	}
-	body := s.body(a)
+	body := s.responseBody(res)
 	if f.mode == modeShort {
-		s.writeShort(w, a, body)
+		s.writeTruncated(w, res, body)
 		return
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(a.status)
+	w.WriteHeader(res.status)
 	_, _ = w.Write(body)
 }
 
-// writeShort announces the whole body, sends half of it and closes.
-func (s *Server) writeShort(w http.ResponseWriter, a *answer, body []byte) {
+// writeTruncated sends a response whose Content-Length covers the whole body, but only
+// half of the body, and closes the connection.
+func (s *Server) writeTruncated(w http.ResponseWriter, res *response, body []byte) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -253,22 +261,22 @@
 	if err != nil {
 		return
 	}
-	head := "HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\nContent-Length: " + strconv.Itoa(len(body)) +
-		"\r\n" + fleet.HeaderRequestID + ": " + string(a.in.id) + "\r\n" + fleet.HeaderBoot + ": " + string(s.boot) + "\r\n\r\n"
+	head := "HTTP/1.1 " + strconv.Itoa(res.status) + " " + http.StatusText(res.status) + "\r\nContent-Length: " + strconv.Itoa(len(body)) +
+		"\r\n" + fleet.HeaderRequestID + ": " + string(res.in.id) + "\r\n" + fleet.HeaderBoot + ": " + string(s.boot) + "\r\n\r\n"
 	_, _ = conn.Write(append([]byte(head), body[:len(body)/2]...))
 	_ = conn.Close()
 }
 
-func (s *Server) body(a *answer) []byte {
+func (s *Server) responseBody(res *response) []byte {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
 		for _, f := range [][2]string{
-			{"request-id", string(a.in.id)},
-			{"account", string(a.in.account)},
-			{"key", string(a.in.key)},
+			{"request-id", string(res.in.id)},
+			{"account", string(res.in.account)},
+			{"key", string(res.in.key)},
 			{"upstream", s.cfg.Name},
 			{"boot", string(s.boot)},
-			{"detail", a.detail},
+			{"detail", res.detail},
 		} {
 			if f[1] != "" || f[0] != "detail" {
 				e.Field(f[0], func(e *jx.Encoder) { e.Str(f[1]) })
--- a/internal/standin/upstream/faults.go
+++ b/internal/standin/upstream/faults.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// Fault modes.
+// Modes of faults.
 const (
-	modeOK     = "ok"
-	modeCold   = "cold"           // empties the caches at once
-	modeFreeze = "freeze-answers" // work goes on; no response leaves until the end of the fault
-	modeLate   = "late"           // responses leave after a delay
-	modeCross  = "crossed"        // a response carries the id and body of the previous request
-	modeShed   = "shed"           // every request is shed
-	modeShort  = "short"          // responses end before their announced length
+	modeOK      = "ok"
+	modeCold    = "cold"           // makes the upstream cold: its caches are emptied
+	modeFreeze  = "freeze-answers" // requests run, but responses are held until the end of the fault
+	modeLate    = "late"           // responses are sent after a delay
+	modeCrossed = "crossed"        // each request gets the response to the previous request
+	modeShed    = "shed"           // every request is refused as under overload
+	modeShort   = "short"          // responses are cut off before their Content-Length
 )
 
-// defaultFault is how long a fault lasts that names no duration.
-const defaultFault = time.Hour
+// defaultFaultDuration is the duration of a fault that is set without for-ms.
+const defaultFaultDuration = time.Hour
 
-type faults struct {
+// faultState holds the last fault that was set.
+type faultState struct {
 	mode     string
 	delay    time.Duration
 	until    time.Time
 	changed  chan struct{} // closed when the fault is replaced
-	previous *answer       // for modeCross
+	previous *response     // last response, for modeCrossed
 }
 
-// fault is the fault at one moment.
-type fault struct {
+// activeFault is a snapshot of the fault in force at one moment.
+type activeFault struct {
 	mode    string
 	delay   time.Duration
 	until   time.Time
 	changed <-chan struct{}
 }
 
-func (f *faults) at(now time.Time) fault {
+func (f *faultState) activeAt(now time.Time) activeFault {
 	if f.mode == "" || !now.Before(f.until) {
-		return fault{mode: modeOK}
+		return activeFault{mode: modeOK}
 	}
-	return fault{mode: f.mode, delay: f.delay, until: f.until, changed: f.changed}
+	return activeFault{mode: f.mode, delay: f.delay, until: f.until, changed: f.changed}
 }
 
-func (f *faults) set(mode string, delay time.Duration, until time.Time) {
+func (f *faultState) set(mode string, delay time.Duration, until time.Time) {
 	if f.changed != nil {
 		close(f.changed)
 	}
 	f.mode, f.delay, f.until, f.changed = mode, delay, until, make(chan struct{})
 }
 
-// delayAnswer holds a response back as the fault demands.
-func (f fault) delayAnswer(ctx context.Context) {
+// delayResponse blocks for as long as the fault delays the response.
+func (f activeFault) delayResponse(ctx context.Context) {
 	var d time.Duration
 	switch f.mode {
 	case modeFreeze:
@@ -74,10 +75,10 @@
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	mode := q.Get("mode")
-	delay, errDelay := milliseconds(q.Get("delay-ms"), 0)
-	length, errFor := milliseconds(q.Get("for-ms"), defaultFault)
+	delay, errDelay := parseMilliseconds(q.Get("delay-ms"), 0)
+	duration, errFor := parseMilliseconds(q.Get("for-ms"), defaultFaultDuration)
 	switch mode {
-	case modeOK, modeCold, modeFreeze, modeLate, modeCross, modeShed, modeShort:
+	case modeOK, modeCold, modeFreeze, modeLate, modeCrossed, modeShed, modeShort:
 	default:
 		http.Error(w, "mode "+strconv.Quote(mode)+" is unknown", http.StatusBadRequest)
 		return
@@ -88,19 +89,19 @@
 	}
 	s.mu.Lock()
 	now := time.Now()
-	s.faults.set(mode, delay, now.Add(length))
+	s.faults.set(mode, delay, now.Add(duration))
 	if mode == modeCold {
-		s.warmth.advance(now, s.running)
-		s.warmth.cool()
-		if s.warmth.check(now, s.running) {
-			s.record(record{event: "overload"})
+		s.warmUp.advance(now, s.running)
+		s.warmUp.reset()
+		if s.warmUp.checkOverload(now, s.running) {
+			s.writeRecord(historyRecord{event: "overload"})
 		}
 	}
 	s.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func milliseconds(s string, def time.Duration) (time.Duration, error) {
+func parseMilliseconds(s string, def time.Duration) (time.Duration, error) {
 	if s == "" {
 		return def, nil
 	}
--- a/internal/standin/upstream/history.go
+++ b/internal/standin/upstream/history.go
@@ -9,23 +9,24 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// history writes one JSON object per line. Each line is one write, so that a
-// killed process leaves whole lines.
+// history writes events as JSON objects, one per line. Each line is a single write, so
+// that a killed process leaves no partial line.
 type history struct {
 	w io.Writer
 	e jx.Encoder
 }
 
-// record is an event of the history: start, effect, end, refuse, overload or
-// caller-key.
-type record struct {
+// historyRecord is an event in the history. The events are start, effect, end,
+// refuse, overload and caller-key.
+type historyRecord struct {
 	event  string
-	detail string // why the request was refused, or how it ended
-	in     incoming
+	detail string // why the request was refused, how it ended, or where the caller key was found
+	in     requestInfo
 }
 
-// record writes to the history; s.mu is held, so lines are in order of time.
-func (s *Server) record(r record) {
+// writeRecord writes a record to the history. The caller holds s.mu, so that records
+// are in the order of their time.
+func (s *Server) writeRecord(r historyRecord) {
 	h := &s.history
 	if h.w == nil {
 		return
@@ -52,8 +53,8 @@
 		}
 		e.Field("fence", func(e *jx.Encoder) { e.UInt64(uint64(r.in.fence)) })
 		e.Field("concurrent", func(e *jx.Encoder) { e.Int(s.running) })
-		e.Field("bears", func(e *jx.Encoder) { e.Int(s.warmth.bears()) })
+		e.Field("bears", func(e *jx.Encoder) { e.Int(s.warmUp.capacity()) })
 	})
-	// A history that cannot be written shows as missing events to the checker.
+	// A write error is ignored: the checks of the report detect the missing event.
 	_, _ = h.w.Write(append(e.Bytes(), '\n'))
 }
--- a/internal/standin/upstream/report.go
+++ b/internal/standin/upstream/report.go
@@ -13,41 +13,43 @@
 )
 
 const (
-	sampleEvery   = 50 * time.Millisecond
-	maxSamples    = 2400 // 2 minutes, the longest lag that reports can have
-	registerEvery = 2 * time.Second
+	sampleInterval   = 50 * time.Millisecond
+	maxSamples       = 2400 // 2 minutes, the maximum of Config.ReportLag
+	registerInterval = 2 * time.Second
 )
 
-// loadLog keeps past load, so that reports can lag.
-type loadLog struct {
-	samples []sample
+// loadHistory holds samples of the past load, for reports with a lag.
+type loadHistory struct {
+	samples []loadSample
 }
 
-type sample struct {
-	at      time.Time
-	running int
-	broken  bool
+// loadSample is the load of the upstream at one moment.
+type loadSample struct {
+	at         time.Time
+	running    int
+	overloaded bool
 }
 
-func (l *loadLog) add(s sample) {
+func (l *loadHistory) add(s loadSample) {
 	if len(l.samples) >= maxSamples {
 		l.samples = l.samples[1:]
 	}
 	l.samples = append(l.samples, s)
 }
 
-// before returns the last sample not younger than at, or an idle one.
-func (l *loadLog) before(at time.Time) sample {
+// latestAt returns the last sample taken at or before the time at. If there is none,
+// it returns the sample of an idle upstream.
+func (l *loadHistory) latestAt(at time.Time) loadSample {
 	for i := len(l.samples) - 1; i >= 0; i-- {
 		if !l.samples[i].at.After(at) {
 			return l.samples[i]
 		}
 	}
-	return sample{}
+	return loadSample{}
 }
 
 func (s *Server) sampleLoad(stop <-chan struct{}) {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -55,37 +57,37 @@
 			return
 		case now := <-tick.C:
 			s.mu.Lock()
-			s.load.add(sample{at: now, running: s.running, broken: s.warmth.broken(now)})
+			s.loadHistory.add(loadSample{at: now, running: s.running, overloaded: s.warmUp.overloaded(now)})
 			s.mu.Unlock()
 		}
 	}
 }
 
-// reported is the state that the upstream tells of itself: late, or, with
-// ReportWrong, the opposite of the truth.
-func (s *Server) reported() sample {
+// reportedLoad returns the load that the upstream reports about itself. With ReportLag
+// it is out of date; with ReportWrong it is the opposite of the actual load.
+func (s *Server) reportedLoad() loadSample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	r := sample{running: s.running, broken: s.warmth.broken(now)}
+	r := loadSample{running: s.running, overloaded: s.warmUp.overloaded(now)}
 	if s.cfg.ReportLag > 0 {
-		r = s.load.before(now.Add(-s.cfg.ReportLag))
+		r = s.loadHistory.latestAt(now.Add(-s.cfg.ReportLag))
 	}
 	if s.cfg.ReportWrong {
-		r.running, r.broken = max(0, s.cfg.Slots-r.running), !r.broken
+		r.running, r.overloaded = max(0, s.cfg.Slots-r.running), !r.overloaded
 	}
 	return r
 }
 
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	if s.reported().broken {
+	if s.reportedLoad().overloaded {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	_, _ = w.Write([]byte("{}"))
 }
 
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	r := s.reported()
+	r := s.reportedLoad()
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("running", func(e *jx.Encoder) { e.Int(r.running) })
@@ -95,8 +97,9 @@
 	_, _ = w.Write(e.Bytes())
 }
 
-// register keeps the upstream in the instance list. After ctx it is listed as
-// leaving until the returned function is called.
+// register keeps the upstream registered in the platform's instance list. When ctx
+// ends, the state of the entry becomes leaving. The returned function stops the
+// registration.
 func (s *Server) register(ctx context.Context) (stop func()) {
 	if s.cfg.List == "" {
 		return func() {}
@@ -109,12 +112,12 @@
 	stopped := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		tick := time.NewTicker(registerEvery)
+		tick := time.NewTicker(registerInterval)
 		defer tick.Stop()
 		leaving := ctx.Done()
 		state := "live"
 		for {
-			s.put(pool, state)
+			s.putListEntry(pool, state)
 			select {
 			case <-stopped:
 				return
@@ -131,7 +134,8 @@
 	}
 }
 
-func (s *Server) put(pool *http1.Pool, state string) {
+// putListEntry writes the upstream's entry to the instance list.
+func (s *Server) putListEntry(pool *http1.Pool, state string) {
 	var e jx.Encoder
 	e.Obj(func(e *jx.Encoder) {
 		for _, f := range [][2]string{
@@ -146,9 +150,9 @@
 			e.Field(f[0], func(e *jx.Encoder) { e.Str(f[1]) })
 		}
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), registerEvery)
+	ctx, cancel := context.WithTimeout(context.Background(), registerInterval)
 	defer cancel()
-	// The list may be down; the next round repeats the entry.
+	// An error is ignored, because the entry is written again after registerInterval.
 	_, _ = pool.Do(ctx, &http1.Request{
 		Method: http.MethodPut, Target: "/v1/instances", Body: e.Bytes(),
 		Header: http.Header{"Content-Type": {"application/json"}},
--- a/internal/standin/upstream/secrets.go
+++ b/internal/standin/upstream/secrets.go
@@ -7,18 +7,20 @@
 	"strings"
 )
 
-// searchSecrets records a request that carries a caller key outside its body.
-func (s *Server) searchSecrets(r *http.Request) {
+// recordSecrets records a caller-key event for a request that contains a caller key
+// in its target, headers or trailers.
+func (s *Server) recordSecrets(r *http.Request) {
 	for _, secret := range s.cfg.Secrets {
 		if where := findSecret(r, secret); where != "" {
 			s.mu.Lock()
-			s.record(record{event: "caller-key", detail: where, in: incoming{clientID: r.Header.Get(headerClientID)}})
+			s.writeRecord(historyRecord{event: "caller-key", detail: where, in: requestInfo{clientID: r.Header.Get(headerClientID)}})
 			s.mu.Unlock()
 		}
 	}
 }
 
-// findSecret returns the part of a request that contains a secret, or "".
+// findSecret returns the part of a request that contains the secret ("target",
+// "header NAME" or "trailer NAME"), or "" if none does. It does not search the body.
 func findSecret(r *http.Request, secret string) string {
 	target := r.RequestURI
 	if target == "" {
@@ -39,15 +41,17 @@
 	return ""
 }
 
-// percentRounds is how often text is percent-decoded, so that a key that was
-// encoded twice is found.
-const percentRounds = 3
+// maxPercentLayers is the number of texts to search: the original, and then the
+// percent-decoded form of each text before, so that a key that was encoded twice is
+// found.
+const maxPercentLayers = 3
 
-// containsSecret finds a secret in plain, percent- and base64-encoded text.
+// containsSecret reports whether the text contains the secret, plain, percent-encoded
+// or base64-encoded.
 func containsSecret(text, secret string) bool {
-	forms := append(base64Forms(secret), secret)
-	for range percentRounds {
-		for _, f := range forms {
+	encodings := append(base64Fragments(secret), secret)
+	for range maxPercentLayers {
+		for _, f := range encodings {
 			if strings.Contains(text, f) {
 				return true
 			}
@@ -61,14 +65,15 @@
 	return false
 }
 
-// base64Forms returns the characters that every base64 text with the secret
-// contains, for each position of the secret in its group of 3 bytes.
-func base64Forms(secret string) (out []string) {
+// base64Fragments returns, for each offset of the secret within a group of 3 bytes and
+// for both base64 alphabets, the characters that every base64 encoding of a text with
+// the secret at this offset contains.
+func base64Fragments(secret string) (out []string) {
 	for _, enc := range []*base64.Encoding{base64.RawStdEncoding, base64.RawURLEncoding} {
 		for offset := range 3 {
 			text := enc.EncodeToString(append(make([]byte, offset), secret...))
-			first := (offset*8 + 5) / 6            // the character before may hold other bits
-			last := (offset + len(secret)) * 8 / 6 // the character after, too
+			first := (offset*8 + 5) / 6            // the character before it also encodes bits of the preceding byte
+			last := (offset + len(secret)) * 8 / 6 // the character after it also encodes bits of the following byte
 			out = append(out, text[first:last])
 		}
 	}
--- a/internal/standin/upstream/secrets_test.go
+++ b/internal/standin/upstream/secrets_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// TestFindSecret guards against caller keys that the history does not show, and
-// against requests without one that it does.
+// TestFindSecret guards against caller keys that are not found, and against finding
+// one in a request that has none.
 func TestFindSecret(t *testing.T) {
 	const key = "caller-key-of-a1"
 	for name, target := range map[string]string{
-		"plain": "/a?b=" + key, "percent": "/a/%63aller-key-of-a1", "twice": "/a?b=" + url.QueryEscape("%63aller-key-of-a1"),
-		"base64": "/a?b=" + url.QueryEscape(base64.StdEncoding.EncodeToString([]byte(key))),
-		"second": "/a?b=" + base64.RawURLEncoding.EncodeToString([]byte("x"+key)),
-		"third":  "/a?b=" + base64.RawURLEncoding.EncodeToString([]byte("xy"+key)),
+		"plain": "/a?b=" + key, "percent-encoded": "/a/%63aller-key-of-a1", "percent-encoded twice": "/a?b=" + url.QueryEscape("%63aller-key-of-a1"),
+		"base64 at offset 0": "/a?b=" + url.QueryEscape(base64.StdEncoding.EncodeToString([]byte(key))),
+		"base64 at offset 1": "/a?b=" + base64.RawURLEncoding.EncodeToString([]byte("x"+key)),
+		"base64 at offset 2": "/a?b=" + base64.RawURLEncoding.EncodeToString([]byte("xy"+key)),
 	} {
 		if findSecret(httptest.NewRequest("GET", target, nil), "caller-key-of-") != "target" {
 			t.Errorf("%s: %s not found", name, target)
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -1,15 +1,15 @@
-// Package upstream is the test double of an upstream. It runs as a separate
-// process and implements the upstream's side of the protocol of docs/design.md,
-// section 6: a dispatcher fence, grants with fences, and a lease on its own
-// monotonic clock, all checked when a request starts and again before its
-// effect.
+// Package upstream is a test double of an upstream. It implements the upstream's side
+// of the protocol in docs/design.md, section 6: a dispatcher fence, grants with fences,
+// and a lease on the upstream's own monotonic clock. It checks the grant and the lease
+// when a request starts and again before the request takes effect, and the dispatcher
+// fence at the start.
 //
-// When the lease lapses, all grants are dropped. Without this, requests that
-// were buffered while the process was frozen would run after the next renewal,
-// although their units may have a new owner.
+// When the lease expires, all grants are dropped. Without this, requests that were
+// buffered while the process was suspended would run after the next renewal, although
+// their units may have a new owner.
 //
-// Everything that a checker needs is written to the history before the response
-// is sent.
+// Every event that the checks of a run need is written to the history before the
+// response is sent.
 package upstream
 
 import (
@@ -28,66 +28,66 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Server is one run of an upstream.
+// Server is a running upstream.
 type Server struct {
-	cfg    Config
-	boot   fleet.BootID
-	began  time.Time // origin of the stamps
-	server *http1.Server
+	cfg       Config
+	boot      fleet.BootID
+	startedAt time.Time // zero point of clock
+	server    *http1.Server
 
-	mu      sync.Mutex
-	control Control
-	warmth  warmth
-	faults  faults
-	history history
-	load    loadLog
-	running int
-	// runningBy counts the running requests by the dispatcher fence they came with.
-	runningBy map[fleet.Fence]int
-	draining  bool
-	conns     map[string]bool // remote addresses that have paid for their connection
-	rng       *rand.Rand
+	mu          sync.Mutex
+	control     Control
+	warmUp      warmUp
+	faults      faultState
+	history     history
+	loadHistory loadHistory
+	running     int
+	// runningBy counts the running requests by their dispatcher fence.
+	runningBy  map[fleet.Fence]int
+	draining   bool
+	knownConns map[string]bool // remote addresses whose connection has been delayed by ConnectTime
+	rng        *rand.Rand
 }
 
-// Config describes an upstream.
+// Config configures an upstream.
 type Config struct {
 	Name                string
 	Service             fleet.ServiceID
 	Zone                fleet.ZoneID
-	Addr                string // "IP:port"
-	Advertise           string // address in the instance list; empty: the one listened on
-	Slots, ColdSlots    int
-	WarmTime            time.Duration // of work, until all slots bear load
-	ServiceTime         time.Duration
-	StraggleProbability float64
+	Addr                string        // "IP:port"
+	Advertise           string        // address in the instance list; empty: the listen address
+	Slots, ColdSlots    int           // concurrent requests that a warm or a cold upstream can run
+	WarmTime            time.Duration // busy time until a cold upstream can use all slots
+	ServiceTime         time.Duration // mean
+	StraggleProbability float64       // from 0 to 1, that a request takes StraggleTime instead of ServiceTime
 	StraggleTime        time.Duration
-	ConnectTime         time.Duration // extra time of the first request on a connection
+	ConnectTime         time.Duration // delay of the first request on a connection
 	MaxConns            int
-	Unfenced            bool // accepts every command and request in time
-	ReportLag           time.Duration
-	ReportWrong         bool
-	History             io.Writer // nil: none
-	List                string    // address of the instance list; empty: not registered
-	DrainTime           time.Duration
-	Secrets             []string // caller keys, or common parts of them, that must not arrive
-	Seed                uint64
+	Unfenced            bool          // accept every control call, and requests without a check of their fences
+	ReportLag           time.Duration // age of the load reports
+	ReportWrong         bool          // report the opposite of the actual load
+	History             io.Writer     // nil: no history
+	List                string        // address of the instance list; empty: do not register
+	DrainTime           time.Duration // how long requests are still accepted after the end of Run's context
+	Secrets             []string      // caller keys, or common parts of them, that must not reach the upstream
+	Seed                uint64        // of the random service times
 }
 
-// maxKnownConns bounds the memory for connections that have been closed since.
+// maxKnownConns limits the memory for the addresses of closed connections.
 const maxKnownConns = 4096
 
-// Start listens and serves.
+// Start starts an upstream that listens on cfg.Addr.
 func Start(cfg Config) (*Server, error) {
 	if cfg.Slots < 1 || cfg.ColdSlots < 1 || cfg.ColdSlots > cfg.Slots {
 		return nil, errors.Errorf("slots %d, cold slots %d: want 1 <= cold slots <= slots", cfg.Slots, cfg.ColdSlots)
 	}
 	now := time.Now()
 	s := &Server{
-		cfg: cfg, began: now, boot: fleet.BootID(cfg.Name + "-" + strconv.FormatInt(now.UnixNano(), 36)),
+		cfg: cfg, startedAt: now, boot: fleet.BootID(cfg.Name + "-" + strconv.FormatInt(now.UnixNano(), 36)),
 		control:   NewControl(cfg.Unfenced),
-		warmth:    warmth{slots: cfg.Slots, cold: cfg.ColdSlots, warmTime: cfg.WarmTime},
+		warmUp:    warmUp{slots: cfg.Slots, coldSlots: cfg.ColdSlots, warmTime: cfg.WarmTime},
 		runningBy: make(map[fleet.Fence]int),
-		history:   history{w: cfg.History}, conns: make(map[string]bool),
+		history:   history{w: cfg.History}, knownConns: make(map[string]bool),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
 	}
 	mux := http.NewServeMux()
@@ -95,7 +95,8 @@
 	mux.HandleFunc("POST /faults", s.serveFaults)
 	mux.HandleFunc("GET /-/health", s.serveHealth)
 	mux.HandleFunc("GET /-/load", s.serveLoad)
-	// The mux would redirect requests whose path is not in canonical form.
+	// ServeMux would redirect requests whose path is not in canonical form, so it
+	// gets only those that match one of its patterns.
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, pattern := mux.Handler(r); pattern != "" {
 			mux.ServeHTTP(w, r)
@@ -111,39 +112,40 @@
 // Addr returns the address that the upstream listens on.
 func (s *Server) Addr() string { return s.server.Addr() }
 
-// Boot returns the boot id of this run.
+// Boot returns the boot id, which is unique to this start of the upstream.
 func (s *Server) Boot() fleet.BootID { return s.boot }
 
-// Run registers the upstream until ctx ends, and then drains it.
+// Run registers the upstream and waits until ctx ends. It then drains the upstream and
+// stops the server.
 func (s *Server) Run(ctx context.Context) error {
-	sampling := make(chan struct{})
-	defer close(sampling)
-	go s.sampleLoad(sampling)
-	stop := s.register(ctx)
+	stopSampling := make(chan struct{})
+	defer close(stopSampling)
+	go s.sampleLoad(stopSampling)
+	deregister := s.register(ctx)
 	<-ctx.Done()
-	defer stop()
-	// The router needs time to move the keys before requests are shed.
+	defer deregister()
+	// The router needs this time to move the keys away before requests are refused.
 	time.Sleep(s.cfg.DrainTime)
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	bounded, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return s.server.Shutdown(bounded)
+	return s.server.Shutdown(shutdownCtx)
 }
 
-// Close stops at once.
+// Close stops the upstream without draining it.
 func (s *Server) Close() { s.server.Close() }
 
-// connect takes the time of a new connection.
-func (s *Server) connect(remote string) {
+// delayNewConn blocks for ConnectTime on the first request from a remote address.
+func (s *Server) delayNewConn(remote string) {
 	s.mu.Lock()
-	known := s.conns[remote]
+	known := s.knownConns[remote]
 	if !known {
-		if len(s.conns) >= maxKnownConns {
-			clear(s.conns)
+		if len(s.knownConns) >= maxKnownConns {
+			clear(s.knownConns)
 		}
-		s.conns[remote] = true
+		s.knownConns[remote] = true
 	}
 	s.mu.Unlock()
 	if !known {
@@ -151,5 +153,5 @@
 	}
 }
 
-// stamp reads the upstream's own clock.
-func (s *Server) stamp() dispatch.Stamp { return dispatch.Stamp(time.Since(s.began)) }
+// clock returns the time on the upstream's own monotonic clock.
+func (s *Server) clock() dispatch.Stamp { return dispatch.Stamp(time.Since(s.startedAt)) }
--- a/internal/standin/upstream/upstream_test.go
+++ b/internal/standin/upstream/upstream_test.go
@@ -20,28 +20,29 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// rig is an upstream with a client, and a lease that does not end.
-type rig struct {
+// harness runs an upstream with a client and records its history.
+type harness struct {
 	t       *testing.T
 	server  *standin.Server
 	client  *upstream.Client
-	raw     *http1.Pool
-	history *buffer
+	pool    *http1.Pool
+	history *historyBuffer
 }
 
-type buffer struct {
+// historyBuffer is a history in memory.
+type historyBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *historyBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
 // events returns the names of the recorded events.
-func (b *buffer) events() []string {
+func (b *historyBuffer) events() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -53,9 +54,9 @@
 	return out
 }
 
-func start(t *testing.T, change func(*standin.Config)) *rig {
+func startUpstream(t *testing.T, change func(*standin.Config)) *harness {
 	t.Helper()
-	r := &rig{t: t, history: &buffer{}}
+	r := &harness{t: t, history: &historyBuffer{}}
 	cfg := standin.Config{
 		Name: "u1", Service: "booking", Addr: "127.0.0.1:0", Slots: 6, ColdSlots: 2, MaxConns: 120,
 		ServiceTime: time.Millisecond, ConnectTime: time.Millisecond, History: r.history, Seed: 1,
@@ -71,18 +72,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	r.client, r.raw = upstream.New(c), c.NewPool(r.server.Addr(), http1.PoolConfig{})
+	r.client, r.pool = upstream.New(c), c.NewPool(r.server.Addr(), http1.PoolConfig{})
 	return r
 }
 
-func (r *rig) control(call upstream.Call) (upstream.Reply, error) {
+func (r *harness) control(call upstream.Call) (upstream.Reply, error) {
 	ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 	defer cancel()
 	call.DispatcherFence = max(call.DispatcherFence, 7)
 	return r.client.Control(ctx, r.server.Addr(), call)
 }
 
-func (r *rig) own(ttl time.Duration, grants ...fleet.Grant) {
+func (r *harness) grantUnits(ttl time.Duration, grants ...fleet.Grant) {
 	r.t.Helper()
 	reply, err := r.control(upstream.Call{Kind: dispatch.Hello, Instance: "i1"})
 	if err == nil {
@@ -96,9 +97,9 @@
 	}
 }
 
-func (r *rig) fault(query string) {
+func (r *harness) setFault(query string) {
 	r.t.Helper()
-	res, err := r.raw.Do(r.t.Context(), &http1.Request{Method: http.MethodPost, Target: "/faults?" + query})
+	res, err := r.pool.Do(r.t.Context(), &http1.Request{Method: http.MethodPost, Target: "/faults?" + query})
 	if err != nil || res.Status != http.StatusNoContent {
 		r.t.Fatalf("fault %s: %v, %v", query, res, err)
 	}
@@ -114,47 +115,48 @@
 	}
 }
 
-func (r *rig) do(req upstream.Request) (*http1.Response, dispatch.Result) {
+func (r *harness) do(req upstream.Request) (*http1.Response, dispatch.Result) {
 	res, err := r.client.Do(r.t.Context(), r.server.Addr(), req)
 	if err != nil {
 		var refusal *fleet.Refusal
 		if !errors.As(err, &refusal) {
-			r.t.Errorf("error %v is no refusal", err)
+			r.t.Errorf("error %v, want a *fleet.Refusal", err)
 		}
 	}
 	return res, upstream.Result(res, err)
 }
 
-// Guards against requests that run without grant, lease or time, and against
-// responses that are taken for another outcome.
+// TestOutcomes guards against requests that run without a grant, without a lease or
+// after their deadline, and against responses that the client takes for another
+// outcome.
 func TestOutcomes(t *testing.T) {
 	pin := fleet.Unit{Service: "booking", Pin: "käse/1"}
 	tests := map[string]struct {
 		fault  string
 		change func(*upstream.Request)
-		before func(*rig)
+		before func(*harness)
 		want   dispatch.ResultKind
 		events []string
 	}{
-		"served":         {want: dispatch.Answered, events: []string{"start", "effect", "end"}},
-		"pin":            {want: dispatch.Answered, change: func(q *upstream.Request) { q.Send.Unit, q.Send.Fence = pin, 12 }, events: []string{"start", "effect", "end"}},
-		"other unit":     {want: dispatch.Stale, change: func(q *upstream.Request) { q.Send.Unit = shard(4) }, events: []string{"refuse"}},
-		"lower fence":    {want: dispatch.Stale, change: func(q *upstream.Request) { q.Send.Fence = 10 }, events: []string{"refuse"}},
-		"dispatcher":     {want: dispatch.Stale, change: func(q *upstream.Request) { q.Send.DispatcherFence = 6 }, events: []string{"refuse"}},
-		"late":           {want: dispatch.Skipped, change: func(q *upstream.Request) { q.Send.StartBy = time.Now() }},
-		"revoked":        {want: dispatch.Stale, before: func(r *rig) { r.revoke(11) }, events: []string{"refuse"}},
-		"older revoke":   {want: dispatch.Answered, before: func(r *rig) { r.revoke(10) }, events: []string{"start", "effect", "end"}},
-		"shed":           {fault: "mode=shed", want: dispatch.Shed, events: []string{"refuse"}},
-		"short":          {fault: "mode=short", want: dispatch.Lost, events: []string{"start", "effect", "end"}},
-		"silent":         {fault: "mode=freeze-answers", want: dispatch.TimedOut, change: func(q *upstream.Request) { q.Send.Deadline = time.Now().Add(50 * time.Millisecond) }, events: []string{"start", "effect", "end"}},
-		"fault replaced": {fault: "mode=ok", want: dispatch.Answered, events: []string{"start", "effect", "end"}},
+		"served":                  {want: dispatch.Answered, events: []string{"start", "effect", "end"}},
+		"pin":                     {want: dispatch.Answered, change: func(q *upstream.Request) { q.Send.Unit, q.Send.Fence = pin, 12 }, events: []string{"start", "effect", "end"}},
+		"unit not granted":        {want: dispatch.Stale, change: func(q *upstream.Request) { q.Send.Unit = shard(4) }, events: []string{"refuse"}},
+		"lower fence":             {want: dispatch.Stale, change: func(q *upstream.Request) { q.Send.Fence = 10 }, events: []string{"refuse"}},
+		"lower dispatcher fence":  {want: dispatch.Stale, change: func(q *upstream.Request) { q.Send.DispatcherFence = 6 }, events: []string{"refuse"}},
+		"start-by time passed":    {want: dispatch.Skipped, change: func(q *upstream.Request) { q.Send.StartBy = time.Now() }},
+		"revoked":                 {want: dispatch.Stale, before: func(r *harness) { r.revoke(11) }, events: []string{"refuse"}},
+		"revoke of lower fence":   {want: dispatch.Answered, before: func(r *harness) { r.revoke(10) }, events: []string{"start", "effect", "end"}},
+		"shed":                    {fault: "mode=shed", want: dispatch.Shed, events: []string{"refuse"}},
+		"truncated response":      {fault: "mode=short", want: dispatch.Lost, events: []string{"start", "effect", "end"}},
+		"response after deadline": {fault: "mode=freeze-answers", want: dispatch.TimedOut, change: func(q *upstream.Request) { q.Send.Deadline = time.Now().Add(50 * time.Millisecond) }, events: []string{"start", "effect", "end"}},
+		"no fault":                {fault: "mode=ok", want: dispatch.Answered, events: []string{"start", "effect", "end"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, func(*standin.Config) {})
-			r.own(time.Hour, fleet.Grant{Unit: shard(3), Fence: 11}, fleet.Grant{Unit: pin, Fence: 12})
+			r := startUpstream(t, func(*standin.Config) {})
+			r.grantUnits(time.Hour, fleet.Grant{Unit: shard(3), Fence: 11}, fleet.Grant{Unit: pin, Fence: 12})
 			if tt.fault != "" {
-				r.fault(tt.fault)
+				r.setFault(tt.fault)
 			}
 			if tt.before != nil {
 				tt.before(r)
@@ -177,18 +179,18 @@
 	}
 }
 
-func (r *rig) revoke(fence fleet.Fence) {
+func (r *harness) revoke(fence fleet.Fence) {
 	r.t.Helper()
 	if _, err := r.control(upstream.Call{Kind: dispatch.RevokeUnits, Grants: []fleet.Grant{{Unit: shard(3), Fence: fence}}}); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// Guards against a response that goes to the caller of another request.
+// TestCrossed guards against accepting a response that belongs to another request.
 func TestCrossed(t *testing.T) {
-	r := start(t, func(*standin.Config) {})
-	r.own(time.Hour, fleet.Grant{Unit: shard(3), Fence: 11})
-	r.fault("mode=crossed")
+	r := startUpstream(t, func(*standin.Config) {})
+	r.grantUnits(time.Hour, fleet.Grant{Unit: shard(3), Fence: 11})
+	r.setFault("mode=crossed")
 	_, first := r.do(request("r1", 5*time.Second))
 	_, second := r.do(request("r2", 5*time.Second))
 	if first.Kind != dispatch.Answered || second.Kind != dispatch.BadAnswer {
@@ -196,23 +198,24 @@
 	}
 }
 
-// Guards against an effect after the lease ended while the request ran.
+// TestLeaseEndsDuringRequest guards against a request that takes effect although the
+// lease ended while it ran.
 func TestLeaseEndsDuringRequest(t *testing.T) {
-	r := start(t, func(c *standin.Config) { c.ServiceTime = 400 * time.Millisecond })
-	r.own(150*time.Millisecond, fleet.Grant{Unit: shard(3), Fence: 11})
+	r := startUpstream(t, func(c *standin.Config) { c.ServiceTime = 400 * time.Millisecond })
+	r.grantUnits(150*time.Millisecond, fleet.Grant{Unit: shard(3), Fence: 11})
 	_, got := r.do(request("r1", 5*time.Second))
 	if got.Kind != dispatch.Stale {
 		t.Errorf("result %v", got.Kind)
 	}
 	for _, e := range r.history.events() {
 		if e == "effect" {
-			t.Error("the request had its effect")
+			t.Error("the request took effect after the end of the lease")
 		}
 	}
 }
 
-// Guards against commands of an earlier dispatcher, delayed commands and stale
-// renewals.
+// TestControl guards against accepting calls of an earlier dispatcher, delayed calls
+// and renewals with an outdated stamp.
 func TestControl(t *testing.T) {
 	c := standin.NewControl(false)
 	unit := shard(3)
@@ -231,13 +234,13 @@
 		{6, dispatch.Call{Kind: dispatch.GrantUnits, DispatcherFence: 7, Grants: grant(11)}, true, true},
 		{7, dispatch.Call{Kind: dispatch.GrantUnits, DispatcherFence: 7, Grants: grant(10)}, false, true},
 		{8, dispatch.Call{Kind: dispatch.RevokeUnits, DispatcherFence: 7, Grants: grant(12)}, true, false},
-		{9, dispatch.Call{Kind: dispatch.GrantUnits, DispatcherFence: 7, Grants: grant(12)}, false, false}, // overtaken
+		{9, dispatch.Call{Kind: dispatch.GrantUnits, DispatcherFence: 7, Grants: grant(12)}, false, false}, // overtaken by its revocation
 		{10, dispatch.Call{Kind: dispatch.GrantUnits, DispatcherFence: 7, Grants: grant(13)}, true, true},
 		{11, dispatch.Call{Kind: dispatch.Hello, DispatcherFence: 8}, true, true},
 		{12, dispatch.Call{Kind: dispatch.RevokeUnits, DispatcherFence: 7, Grants: grant(13)}, false, true},
-		{103, dispatch.Call{Kind: dispatch.Renew, DispatcherFence: 8, Stamp: 11, TTL: 100}, true, false}, // lapsed at 103
+		{103, dispatch.Call{Kind: dispatch.Renew, DispatcherFence: 8, Stamp: 11, TTL: 100}, true, false}, // lease expired at 103
 		{104, dispatch.Call{Kind: dispatch.GrantUnits, DispatcherFence: 8, Grants: grant(13)}, true, true},
-		{120, dispatch.Call{Kind: dispatch.Renew, DispatcherFence: 8, Stamp: 12, TTL: 100}, true, false}, // lapsed at 111
+		{120, dispatch.Call{Kind: dispatch.Renew, DispatcherFence: 8, Stamp: 12, TTL: 100}, true, false}, // lease expired at 111
 	}
 	for i, s := range steps {
 		got := c.Apply(s.now, s.call)
@@ -247,11 +250,12 @@
 	}
 }
 
-// Guards against an upstream in cold start that bears more than it should, and
-// against a test double that hides the overload.
+// TestOverload guards against a cold upstream that runs more requests than its cold
+// slots without becoming overloaded, and against an overload that is not recorded in
+// the history.
 func TestOverload(t *testing.T) {
-	r := start(t, func(c *standin.Config) { c.WarmTime, c.ServiceTime = time.Hour, 50*time.Millisecond })
-	r.own(time.Hour, fleet.Grant{Unit: shard(3), Fence: 11})
+	r := startUpstream(t, func(c *standin.Config) { c.WarmTime, c.ServiceTime = time.Hour, 50*time.Millisecond })
+	r.grantUnits(time.Hour, fleet.Grant{Unit: shard(3), Fence: 11})
 	var wg sync.WaitGroup
 	for _, id := range []fleet.RequestID{"r1", "r2", "r3"} {
 		wg.Go(func() {
@@ -266,10 +270,10 @@
 	}
 }
 
-// Guards against a refusal of a higher dispatcher fence that the client cannot
-// tell from a lost connection.
+// TestSuperseded guards against a client that cannot distinguish a call refused for
+// its lower dispatcher fence from a lost connection.
 func TestSuperseded(t *testing.T) {
-	r := start(t, func(*standin.Config) {})
+	r := startUpstream(t, func(*standin.Config) {})
 	_, err := r.control(upstream.Call{Kind: dispatch.Hello, DispatcherFence: 9})
 	if err == nil {
 		_, err = r.control(upstream.Call{Kind: dispatch.Hello, DispatcherFence: 8})
--- a/internal/standin/upstream/warmup.go
+++ b/internal/standin/upstream/warmup.go
@@ -2,59 +2,62 @@
 
 import "time"
 
-// overloadTime is how long an upstream stays broken after it was given more
-// concurrent work than it bears.
-const overloadTime = time.Second
-
-// warmth models caches that fill with work. A cold upstream bears cold slots;
-// the rest come evenly over warmTime of work.
-type warmth struct {
-	slots, cold int
-	warmTime    time.Duration
-	worked      time.Duration
-	since       time.Time // start of the present work; zero: idle
-	brokenUntil time.Time
+// overloadDuration is the time for which an upstream stays overloaded after more
+// requests ran at once than its capacity allows.
+const overloadDuration = time.Second
+
+// warmUp models caches that fill while requests run. A cold upstream has a capacity of
+// coldSlots concurrent requests. It grows linearly to slots while the upstream is busy
+// for warmTime.
+type warmUp struct {
+	slots, coldSlots int
+	warmTime         time.Duration
+	busyTime         time.Duration
+	busySince        time.Time // start of the busy time not yet in busyTime; zero: idle
+	overloadedUntil  time.Time
 }
 
-// advance counts work up to now, at which running requests remain.
-func (w *warmth) advance(now time.Time, running int) {
-	if !w.since.IsZero() {
-		w.worked += now.Sub(w.since)
+// advance adds the busy time up to now; running is the number of requests that run
+// from then on.
+func (w *warmUp) advance(now time.Time, running int) {
+	if !w.busySince.IsZero() {
+		w.busyTime += now.Sub(w.busySince)
 	}
-	w.since = time.Time{}
+	w.busySince = time.Time{}
 	if running > 0 {
-		w.since = now
+		w.busySince = now
 	}
 }
 
-// bears returns how many requests may run at once.
-func (w *warmth) bears() int {
-	if w.warmTime <= 0 || w.worked >= w.warmTime {
+// capacity returns the number of requests that can run at once without overload.
+func (w *warmUp) capacity() int {
+	if w.warmTime <= 0 || w.busyTime >= w.warmTime {
 		return w.slots
 	}
-	return w.cold + int(float64(w.slots-w.cold)*float64(w.worked)/float64(w.warmTime))
+	return w.coldSlots + int(float64(w.slots-w.coldSlots)*float64(w.busyTime)/float64(w.warmTime))
 }
 
-// cool empties the caches.
-func (w *warmth) cool() { w.worked = 0 }
+// reset makes the upstream cold, as if its caches were emptied.
+func (w *warmUp) reset() { w.busyTime = 0 }
 
-func (w *warmth) broken(now time.Time) bool { return now.Before(w.brokenUntil) }
+func (w *warmUp) overloaded(now time.Time) bool { return now.Before(w.overloadedUntil) }
 
-// check breaks the upstream if it bears fewer than running requests, and
-// reports whether this started an overload.
-func (w *warmth) check(now time.Time, running int) bool {
-	if running <= w.bears() {
+// checkOverload makes the upstream overloaded if running exceeds its capacity, and
+// reports whether it was not overloaded before.
+func (w *warmUp) checkOverload(now time.Time, running int) bool {
+	if running <= w.capacity() {
 		return false
 	}
-	started := !w.broken(now)
-	w.brokenUntil = now.Add(overloadTime)
+	started := !w.overloaded(now)
+	w.overloadedUntil = now.Add(overloadDuration)
 	return started
 }
 
-// slowdown is the factor on the service time.
-func (w *warmth) slowdown(now time.Time) float64 {
-	f := float64(w.slots) / float64(max(1, w.bears()))
-	if w.broken(now) {
+// slowdown returns the factor by which the service time is multiplied: higher while
+// the upstream is cold, and three times as high while it is overloaded.
+func (w *warmUp) slowdown(now time.Time) float64 {
+	f := float64(w.slots) / float64(max(1, w.capacity()))
+	if w.overloaded(now) {
 		f *= 3
 	}
 	return f
