--- a/internal/standin/front/store.go
+++ b/internal/standin/front/store.go
@@ -1,5 +1,6 @@
-// Package front is test doubles of the users' platform: its store, and upstreams
-// that register there. They speak the platform's protocol, and misbehave on demand.
+// Package front provides test doubles of the outer platform: its key-value store and
+// upstreams that register in that store. Both speak the platform's HTTP protocol and
+// inject faults on request.
 package front
 
 import (
@@ -13,10 +14,11 @@
 	"time"
 )
 
-// sweepEvery is how often the store looks for leases that have ended.
-const sweepEvery = 20 * time.Millisecond
+// leaseSweepInterval is the time between two scans for expired leases.
+const leaseSweepInterval = 20 * time.Millisecond
 
-// Store is the platform's store with the calls that parsleyproxy makes.
+// Store is an in-memory double of the platform's key-value store. It implements the
+// HTTP calls that parsleyproxy makes.
 type Store struct {
 	server   *http.Server
 	listener net.Listener
@@ -25,37 +27,42 @@
 	mu      sync.Mutex
 	rev     int
 	items   map[string]item
-	removed map[string]int // the revisions at which keys were removed
-	// forgotten is the last revision of the history that was dropped.
-	forgotten int
-	leases    map[int]lease
-	frozen    bool // leases do not end
-	changed   chan struct{}
-	fault     func(call string) Fault
-	calls     map[string]int
+	removed map[string]int // revision at which each key was last removed
+	// droppedRev is the last revision that was dropped from the history. A watch
+	// from an earlier revision is answered with 410 Gone.
+	droppedRev   int
+	leases       map[int]lease
+	leasesFrozen bool // leases do not expire while set
+	changed      chan struct{}
+	faultFor     func(call string) Fault
+	callCounts   map[string]int
 }
 
+// item is a stored value, with the revision of its last write and the id of its lease
+// (0: none).
 type item struct {
 	value string
 	rev   int
 	lease int
 }
 
+// lease is a time to live that one or more keys share.
 type lease struct {
-	ttl  time.Duration
-	till time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Fault is what happens to one call.
+// Fault describes the fault that is injected into one call. The zero value injects none.
 type Fault struct {
-	Status int           // answered instead of carrying the call out; 0 carries it out
-	Delay  time.Duration // before the call is carried out
-	Lose   bool          // the connection ends instead of the answer
-	Silent bool          // the call is neither carried out nor answered
-	Late   time.Duration // the connection ends, and the call is carried out so much later
+	Status int           // HTTP status answered without executing the call; 0 executes it
+	Delay  time.Duration // wait before the call is executed
+	Lose   bool          // the call is executed, but the connection is closed without a response
+	Silent bool          // the call is neither executed nor answered
+	Late   time.Duration // the connection is closed at once, and the call is executed after this time
 }
 
-// StartStore starts an empty store; addr is "IP:port", port 0 picks a free one.
+// StartStore starts an empty store that listens on addr, "IP:port". Port 0 picks a
+// free port.
 func StartStore(addr string) (*Store, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -63,52 +70,55 @@
 	}
 	s := &Store{
 		listener: ln, stop: make(chan struct{}), rev: 1, items: make(map[string]item), removed: make(map[string]int),
-		leases: make(map[int]lease), changed: make(chan struct{}), calls: make(map[string]int),
+		leases: make(map[int]lease), changed: make(chan struct{}), callCounts: make(map[string]int),
 	}
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = s.server.Serve(ln) }() // ends with Close
-	go s.sweep()
+	go func() { _ = s.server.Serve(ln) }() // returns after Close
+	go s.sweepLeases()
 	return s, nil
 }
 
-// Addr returns the address that the store listens on.
+// Addr returns the address that the store listens on, "IP:port".
 func (s *Store) Addr() string { return s.listener.Addr().String() }
 
-// Close stops the store.
+// Close stops the store and closes its connections.
 func (s *Store) Close() {
 	close(s.stop)
 	_ = s.server.Close()
 }
 
-// SetFault makes f decide what happens to each call; nil ends all faults.
+// SetFault sets the function that chooses the fault of each call, by the call's name,
+// such as "kv-key". A nil function ends fault injection.
 func (s *Store) SetFault(f func(call string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = f
+	s.faultFor = f
 }
 
-// FreezeLeases says whether leases stop to run out.
-func (s *Store) FreezeLeases(on bool) {
+// FreezeLeases stops the expiry of leases if frozen is set, and resumes it otherwise.
+func (s *Store) FreezeLeases(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.frozen = on
+	s.leasesFrozen = frozen
 }
 
-// Calls returns how often a call was made, such as "kv-key" or "kv-watch op/".
+// Calls returns how many times a call was made. A call is its name and, separated by
+// a space, its prefix if it has one: "kv-key" or "kv-watch op/".
 func (s *Store) Calls(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls[call]
+	return s.callCounts[call]
 }
 
-// Put writes as operators do.
+// Put writes a key without a lease, as operators do.
 func (s *Store) Put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(key, item{value: value})
 }
 
-// PutFor writes as upstreams do: the key goes after ttl unless it is written again.
+// PutFor writes a key with a lease, as upstreams do: the key is removed after ttl unless
+// it is written again before.
 func (s *Store) PutFor(key, value string, ttl time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,20 +131,22 @@
 	s.put(key, item{value: value, lease: id})
 }
 
+// put stores an item at a new revision. The caller holds mu.
 func (s *Store) put(key string, it item) {
 	s.rev++
 	it.rev = s.rev
 	s.items[key] = it
-	s.announce()
+	s.notifyWatchers()
 }
 
-// Remove removes a key.
+// Remove removes a key. It does nothing if the key does not exist.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
 }
 
+// remove removes a key at a new revision. The caller holds mu.
 func (s *Store) remove(key string) {
 	if _, known := s.items[key]; !known {
 		return
@@ -142,51 +154,56 @@
 	s.rev++
 	delete(s.items, key)
 	s.removed[key] = s.rev
-	s.announce()
+	s.notifyWatchers()
 }
 
-// Forget drops the history.
+// Forget drops the event history up to the current revision, so that watches from
+// earlier revisions fail with 410 Gone.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.rev
-	s.announce()
+	s.droppedRev = s.rev
+	s.notifyWatchers()
 }
 
-func (s *Store) announce() {
+// notifyWatchers wakes all pending watches. The caller holds mu.
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// sweep removes the keys of leases that have ended.
-func (s *Store) sweep() {
-	tick := time.NewTicker(sweepEvery)
+// sweepLeases expires leases at regular intervals until the store is closed.
+func (s *Store) sweepLeases() {
+	tick := time.NewTicker(leaseSweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-s.stop:
 			return
 		case now := <-tick.C:
-			s.endLeases(now)
+			s.expireLeases(now)
 		}
 	}
 }
 
-func (s *Store) endLeases(now time.Time) {
+// expireLeases removes the leases that end before now, with their keys. While leases are
+// frozen it extends each of them by one sweep interval instead.
+func (s *Store) expireLeases(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.leases {
-		if s.frozen {
-			l.till = l.till.Add(sweepEvery)
+		if s.leasesFrozen {
+			l.expiresAt = l.expiresAt.Add(leaseSweepInterval)
 			s.leases[id] = l
 		}
-		if now.After(l.till) {
-			s.endLease(id)
+		if now.After(l.expiresAt) {
+			s.removeLease(id)
 		}
 	}
 }
 
-func (s *Store) endLease(id int) {
+// removeLease removes a lease and its keys. The caller holds mu.
+func (s *Store) removeLease(id int) {
 	delete(s.leases, id)
 	for key, it := range s.items {
 		if it.lease == id {
@@ -195,15 +212,15 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP counts a call, injects its fault, executes it and answers it.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/api/"), "/", 2)[0]
 	prefix := r.URL.Query().Get("prefix")
 	var f Fault
 	s.mu.Lock()
-	s.calls[strings.TrimSpace(call+" "+prefix)]++
-	if s.fault != nil {
-		f = s.fault(call)
+	s.callCounts[strings.TrimSpace(call+" "+prefix)]++
+	if s.faultFor != nil {
+		f = s.faultFor(call)
 	}
 	s.mu.Unlock()
 	txn := decodeTxn(r)
@@ -212,14 +229,14 @@
 		<-r.Context().Done()
 		return
 	case f.Late > 0:
-		time.AfterFunc(f.Late, func() { s.carryOut(call, r, txn) })
+		time.AfterFunc(f.Late, func() { s.execute(call, r, txn) })
 		panic(http.ErrAbortHandler)
 	case f.Status != 0:
 		w.WriteHeader(f.Status)
 		return
 	}
 	time.Sleep(f.Delay)
-	status, body := s.carryOut(call, r, txn)
+	status, body := s.execute(call, r, txn)
 	if call == "kv-watch" && status == http.StatusOK {
 		status, body = s.awaitEvents(r, status, body)
 	}
@@ -227,62 +244,66 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller may have left
+	_ = json.NewEncoder(w).Encode(body) // fails if the client has closed the connection
 }
 
-func (s *Store) carryOut(call string, r *http.Request, t txn) (int, any) {
+// execute runs a call and returns the status and the JSON body of its answer.
+func (s *Store) execute(call string, r *http.Request, t txn) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch call {
 	case "kv-key":
 		key := r.URL.Query().Get("key")
 		if it, ok := s.items[key]; ok {
-			return http.StatusOK, s.show(key, it)
+			return http.StatusOK, s.encodeItem(key, it)
 		}
 		return http.StatusNotFound, nil
 	case "kv-range":
 		list := []any{}
 		for key, it := range s.items {
 			if strings.HasPrefix(key, r.URL.Query().Get("prefix")) {
-				list = append(list, s.show(key, it))
+				list = append(list, s.encodeItem(key, it))
 			}
 		}
 		return http.StatusOK, map[string]any{"items": list, "hasMore": false, "currentRev": s.rev}
 	case "kv-watch":
-		return s.events(r)
+		return s.eventsAfter(r)
 	case "kv-lease":
 		s.rev++
 		s.leases[s.rev] = lease{t.ttl, time.Now().Add(t.ttl)}
 		return http.StatusOK, map[string]any{"lease": s.rev, "ttl_time": t.TTL}
 	case "kv-keep", "kv-lease-end":
-		return s.keep(call, r)
+		return s.renewOrEndLease(call, r)
 	case "kv-txn":
-		return s.txn(t)
+		return s.applyTxn(t)
 	}
 	return http.StatusBadRequest, nil
 }
 
-func (s *Store) events(r *http.Request) (int, any) {
+// eventsAfter returns the writes and removals under the requested prefix after the
+// requested revision. The caller holds mu.
+func (s *Store) eventsAfter(r *http.Request) (int, any) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	prefix := r.URL.Query().Get("prefix")
-	if after < s.forgotten {
+	if after < s.droppedRev {
 		return http.StatusGone, nil
 	}
 	events := []any{}
 	for key, it := range s.items {
 		if strings.HasPrefix(key, prefix) && it.rev > after {
-			events = append(events, s.show(key, it))
+			events = append(events, s.encodeItem(key, it))
 		}
 	}
 	for key, rev := range s.removed {
-		if _, back := s.items[key]; !back && strings.HasPrefix(key, prefix) && rev > after {
+		if _, exists := s.items[key]; !exists && strings.HasPrefix(key, prefix) && rev > after {
 			events = append(events, map[string]any{"key": key, "rev": rev, "deleted": true})
 		}
 	}
 	return http.StatusOK, map[string]any{"events": events, "currentRev": s.rev}
 }
 
-// awaitEvents waits until there is an event, for as long as the caller asked.
+// awaitEvents answers a watch as soon as it has an event, or without events after the
+// waiting time that the client asked for (waitMs).
 func (s *Store) awaitEvents(r *http.Request, status int, body any) (int, any) {
 	ms, _ := strconv.Atoi(r.URL.Query().Get("waitMs"))
 	timer := time.NewTimer(time.Duration(ms) * time.Millisecond)
@@ -290,7 +311,7 @@
 	for {
 		s.mu.Lock()
 		changed := s.changed
-		status, body = s.events(r)
+		status, body = s.eventsAfter(r)
 		s.mu.Unlock()
 		if page, ok := body.(map[string]any); !ok || len(page["events"].([]any)) > 0 {
 			return status, body
@@ -305,26 +326,29 @@
 	}
 }
 
-func (s *Store) show(key string, it item) map[string]any {
+// encodeItem returns the JSON form of an item. The creation revision that it states is
+// that of the last write.
+func (s *Store) encodeItem(key string, it item) map[string]any {
 	return map[string]any{"key": key, "value": base64.StdEncoding.EncodeToString([]byte(it.value)), "rev": it.rev, "createdAt": it.rev, "lease": it.lease, "currentRev": s.rev}
 }
 
-func (s *Store) keep(call string, r *http.Request) (int, any) {
+// renewOrEndLease executes kv-keep and kv-lease-end. The caller holds mu.
+func (s *Store) renewOrEndLease(call string, r *http.Request) (int, any) {
 	id, _ := strconv.Atoi(r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:])
 	l, known := s.leases[id]
 	if !known {
 		return http.StatusNotFound, nil
 	}
 	if call == "kv-lease-end" {
-		s.endLease(id)
+		s.removeLease(id)
 		return http.StatusOK, nil
 	}
-	l.till = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	s.leases[id] = l
 	return http.StatusOK, map[string]any{"ttl_time": l.ttl.String()}
 }
 
-// txn is the body of a call that changes something.
+// txn is the body of a POST call: a transaction, or the time to live of a new lease.
 type txn struct {
 	Expect []struct {
 		Key string
@@ -334,12 +358,14 @@
 		Key, Value string
 		Lease      int
 	}
-	Remove []string
-	TTL    string `json:"ttl_time"`
-	ttl    time.Duration
-	bad    bool
+	Remove    []string
+	TTL       string `json:"ttl_time"`
+	ttl       time.Duration
+	malformed bool
 }
 
+// decodeTxn decodes the body of a POST call. It marks a body that is not valid as
+// malformed, and returns an empty txn for other calls.
 func decodeTxn(r *http.Request) txn {
 	var t txn
 	if r.Method != http.MethodPost || r.ContentLength == 0 {
@@ -349,12 +375,14 @@
 	if err == nil && t.TTL != "" {
 		t.ttl, err = time.ParseDuration(t.TTL)
 	}
-	t.bad = err != nil
+	t.malformed = err != nil
 	return t
 }
 
-func (s *Store) txn(t txn) (int, any) {
-	if t.bad {
+// applyTxn executes a transaction if every expected revision is the current one and
+// every lease of a write exists. The caller holds mu.
+func (s *Store) applyTxn(t txn) (int, any) {
+	if t.malformed {
 		return http.StatusBadRequest, nil
 	}
 	for _, e := range t.Expect {
--- a/internal/standin/front/upstream.go
+++ b/internal/standin/front/upstream.go
@@ -11,43 +11,45 @@
 	"time"
 )
 
-// UpstreamConfig describes an upstream.
+// UpstreamConfig configures an Upstream.
 type UpstreamConfig struct {
 	ID, Service, Zone string
-	Sharded           bool // it runs requests only for keys that it was granted
-	Slots             int  // 0 is 6
-	Work              time.Duration
-	Addr              string // "IP:port"; empty picks a free one
-	// Began is told of every request when it starts to run.
+	Sharded           bool          // executes requests only for keys that it was granted
+	Slots             int           // requests executed at a time; 0 means 6
+	Work              time.Duration // service time of a request
+	Addr              string        // "IP:port"; empty means a free port of 127.0.0.1
+	// Began is called for every request when its execution starts.
 	Began func(u *Upstream, r *http.Request)
-	// Answer replaces the usual answer.
+	// Answer, if not nil, handles requests in place of the default handler.
 	Answer func(w http.ResponseWriter, r *http.Request)
 }
 
-// Upstream is one of the platform's workers.
+// Upstream is a double of an upstream server of the platform.
 type Upstream struct {
 	cfg UpstreamConfig
 
-	mu      sync.Mutex
-	server  *http.Server
-	addr    string
-	born    int64
-	seq     int
-	held    []hold
-	running int
-	waiting int
-	seen    []*http.Request
-	cold    time.Duration
-	slots   chan struct{}
+	mu          sync.Mutex
+	server      *http.Server
+	addr        string
+	startUnixMs int64
+	seq         int
+	grants      []grant
+	running     int
+	waiting     int
+	requests    []*http.Request
+	coldLeft    time.Duration
+	slots       chan struct{}
 }
 
-// hold is keys that were granted.
-type hold struct {
+// grant is the exclusive ownership of a range of keys, both ends included, until it
+// expires. fence is its fencing token.
+type grant struct {
 	from, to, fence int
-	till            time.Time
+	expiresAt       time.Time
 }
 
-// StartUpstream starts an upstream that does not register by itself.
+// StartUpstream starts an upstream. It does not register in the store: the caller writes
+// the entry that Registration returns.
 func StartUpstream(cfg UpstreamConfig) (*Upstream, error) {
 	if cfg.Slots == 0 {
 		cfg.Slots = 6
@@ -59,7 +61,8 @@
 	return u, u.Restart()
 }
 
-// Restart starts the upstream after Crash: under its id and address, without keys.
+// Restart starts the upstream again after Crash, with the same id and address and
+// without keys.
 func (u *Upstream) Restart() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -71,65 +74,66 @@
 	if err != nil {
 		return err
 	}
-	u.addr, u.held, u.seq, u.running, u.waiting = ln.Addr().String(), nil, 0, 0, 0
-	u.born = time.Now().UnixMilli()
+	u.addr, u.grants, u.seq, u.running, u.waiting = ln.Addr().String(), nil, 0, 0, 0
+	u.startUnixMs = time.Now().UnixMilli()
 	u.slots = make(chan struct{}, u.cfg.Slots)
 	u.server = &http.Server{Handler: u, ReadHeaderTimeout: 5 * time.Second}
 	server := u.server
-	go func() { _ = server.Serve(ln) }() // ends with Crash
+	go func() { _ = server.Serve(ln) }() // returns after Crash
 	return nil
 }
 
-// Crash stops the upstream at once; its requests are cut.
+// Crash stops the upstream at once and closes the connections of its requests.
 func (u *Upstream) Crash() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.held = nil
+	u.grants = nil
 	_ = u.server.Close()
 }
 
-// SetAnswer replaces the answers from now on; nil gives the usual ones.
+// SetAnswer sets the handler of later requests; nil restores the default handler.
 func (u *Upstream) SetAnswer(f func(w http.ResponseWriter, r *http.Request)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.cfg.Answer = f
 }
 
-// Addr returns the address that the upstream listens on.
+// Addr returns the address that the upstream listens on, "IP:port".
 func (u *Upstream) Addr() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.addr
 }
 
-// ID returns the upstream's id.
+// ID returns the id of the upstream.
 func (u *Upstream) ID() string { return u.cfg.ID }
 
-// Requests returns the requests that arrived.
+// Requests returns all requests that arrived, refused ones included.
 func (u *Upstream) Requests() []*http.Request {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]*http.Request(nil), u.seen...)
+	return append([]*http.Request(nil), u.requests...)
 }
 
-// Holds reports whether the upstream holds a key now.
+// Holds reports whether the upstream has an unexpired grant for a key.
 func (u *Upstream) Holds(key int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.holds(time.Now(), key)
+	return u.holdsKey(time.Now(), key)
 }
 
-func (u *Upstream) holds(now time.Time, key int) bool {
-	for _, h := range u.held {
-		if key >= h.from && key <= h.to && now.Before(h.till) {
+// holdsKey reports whether a grant for key is unexpired at now. The caller holds mu.
+func (u *Upstream) holdsKey(now time.Time, key int) bool {
+	for _, h := range u.grants {
+		if key >= h.from && key <= h.to && now.Before(h.expiresAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// Registration returns the upstream's entry in the store. addr is where others reach
-// it; empty is its own address.
+// Registration returns the key and value of the upstream's entry in the store. addr is
+// the address to register; empty means the address that the upstream listens on.
 func (u *Upstream) Registration(addr string, draining bool) (key, value string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -142,19 +146,19 @@
 	}
 	u.seq++
 	return "servers/" + u.cfg.ID, fmt.Sprintf(`{"born":%d,"address":%q,"info":{"service":%q,"version":"v1","zone":%q,"slots":%d},"status":{"state":%q,"seq":%d,"coldLeft":"%dms"}}`,
-		u.born, addr, u.cfg.Service, u.cfg.Zone, u.cfg.Slots, state, u.seq, u.cold.Milliseconds())
+		u.startUnixMs, addr, u.cfg.Service, u.cfg.Zone, u.cfg.Slots, state, u.seq, u.coldLeft.Milliseconds())
 }
 
-// ServeHTTP answers orders about keys and requests.
+// ServeHTTP handles grants and releases of keys, and client requests.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/api/grant" || r.URL.Path == "/api/release" {
-		u.order(w, r)
+		u.serveKeyOrder(w, r)
 		return
 	}
 	key, keyErr := strconv.Atoi(r.Header.Get("Shard-Key"))
 	u.mu.Lock()
-	u.seen = append(u.seen, r)
-	holds := !u.cfg.Sharded || keyErr == nil && u.holds(time.Now(), key)
+	u.requests = append(u.requests, r)
+	holds := !u.cfg.Sharded || keyErr == nil && u.holdsKey(time.Now(), key)
 	answer, slots := u.cfg.Answer, u.slots
 	u.mu.Unlock()
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
@@ -167,16 +171,16 @@
 		answer(w, r)
 		return
 	}
-	u.count(&u.waiting, 1)
+	u.addTo(&u.waiting, 1)
 	select {
 	case slots <- struct{}{}:
-		u.count(&u.waiting, -1)
+		u.addTo(&u.waiting, -1)
 	case <-r.Context().Done():
-		u.count(&u.waiting, -1)
+		u.addTo(&u.waiting, -1)
 		return
 	}
 	defer func() { <-slots }()
-	if u.cfg.Sharded && !u.Holds(key) { // it waited for longer than its keys were held
+	if u.cfg.Sharded && !u.Holds(key) { // the grant expired while the request was queued
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -184,11 +188,11 @@
 	if u.cfg.Began != nil {
 		u.cfg.Began(u, r)
 	}
-	u.count(&u.running, 1)
-	defer u.count(&u.running, -1)
+	u.addTo(&u.running, 1)
+	defer u.addTo(&u.running, -1)
 	select {
 	case <-time.After(u.cfg.Work):
-	case <-r.Context().Done(): // the connection is closed, so the work stops
+	case <-r.Context().Done(): // the router closed the connection
 		return
 	}
 	u.mu.Lock()
@@ -196,25 +200,28 @@
 	u.mu.Unlock()
 	w.Header().Set("Server-Seal", "seal-"+u.cfg.ID)
 	w.Header().Set("Server-Load", load)
-	_, _ = io.WriteString(w, "by "+u.cfg.ID) // the caller may have left
+	_, _ = io.WriteString(w, "by "+u.cfg.ID) // fails if the router has closed the connection
 }
 
-func (u *Upstream) count(n *int, by int) {
+// addTo adds delta to one of the upstream's request counters.
+func (u *Upstream) addTo(counter *int, delta int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	*n += by
+	*counter += delta
 }
 
-func (u *Upstream) order(w http.ResponseWriter, r *http.Request) {
-	arrived := time.Now()
-	var o struct {
+// serveKeyOrder handles a grant or a release of keys. It refuses a grant with 409
+// Conflict if a known fencing token for one of its keys is higher.
+func (u *Upstream) serveKeyOrder(w http.ResponseWriter, r *http.Request) {
+	receivedAt := time.Now()
+	var order struct {
 		From, Target, Fence int
 		Hold                string `json:"hold_time"`
 	}
-	err := json.NewDecoder(r.Body).Decode(&o)
-	var lasts time.Duration
+	err := json.NewDecoder(r.Body).Decode(&order)
+	var holdTime time.Duration
 	if err == nil && r.URL.Path == "/api/grant" {
-		lasts, err = time.ParseDuration(o.Hold)
+		holdTime, err = time.ParseDuration(order.Hold)
 	}
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -223,37 +230,38 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if r.URL.Path == "/api/release" {
-		for _, h := range u.held { // its fencing tokens are remembered
-			if h.from <= o.Target && h.to >= o.From {
-				h.from, h.to, h.till = max(h.from, o.From), min(h.to, o.Target), time.Time{}
-				u.held = append(without(u.held, h.from, h.to), h)
+		for _, h := range u.grants { // released keys keep an expired grant, so that their fencing token stays in force
+			if h.from <= order.Target && h.to >= order.From {
+				h.from, h.to, h.expiresAt = max(h.from, order.From), min(h.to, order.Target), time.Time{}
+				u.grants = append(withoutKeys(u.grants, h.from, h.to), h)
 			}
 		}
 		w.Header().Set("Handover", "h1")
 		return
 	}
-	for _, h := range u.held {
-		if h.fence > o.Fence && h.from <= o.Target && h.to >= o.From {
+	for _, h := range u.grants {
+		if h.fence > order.Fence && h.from <= order.Target && h.to >= order.From {
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
 	}
-	u.held = append(without(u.held, o.From, o.Target), hold{o.From, o.Target, o.Fence, arrived.Add(lasts)})
+	u.grants = append(withoutKeys(u.grants, order.From, order.Target), grant{order.From, order.Target, order.Fence, receivedAt.Add(holdTime)})
 }
 
-// without returns held less the keys from from to to.
-func without(held []hold, from, to int) []hold {
-	var out []hold
-	for _, h := range held {
+// withoutKeys returns grants without the keys from from to to, both included. It splits
+// grants that also cover other keys.
+func withoutKeys(grants []grant, from, to int) []grant {
+	var out []grant
+	for _, h := range grants {
 		if h.to < from || h.from > to {
 			out = append(out, h)
 			continue
 		}
 		if h.from < from {
-			out = append(out, hold{h.from, from - 1, h.fence, h.till})
+			out = append(out, grant{h.from, from - 1, h.fence, h.expiresAt})
 		}
 		if h.to > to {
-			out = append(out, hold{to + 1, h.to, h.fence, h.till})
+			out = append(out, grant{to + 1, h.to, h.fence, h.expiresAt})
 		}
 	}
 	return out
