--- a/internal/standin/baseline/baseline.go
+++ b/internal/standin/baseline/baseline.go
@@ -1,10 +1,10 @@
-// Package baseline is the simplest router to compare with. Each instance hashes
-// the routing key over the upstreams in the platform's list, connects to all of
-// them, and enforces its static part of every limit. There are no leases, no
-// grants and no dispatchers; only idempotent requests are retried, once. Its
-// upstreams check no fencing tokens.
+// Package baseline implements a minimal router that serves as the baseline of
+// comparisons. Each instance hashes the routing key over the upstreams in the
+// platform's instance list, connects to all of them, and enforces an equal, static
+// share of every limit. It has no leases, grants or dispatchers. It retries only
+// idempotent requests, and those once. Its upstreams check no fencing tokens.
 //
-// The catalogue is a file that is read again when it changes.
+// The catalogue is a file that is read again when its modification time changes.
 package baseline
 
 import (
@@ -24,21 +24,24 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Config describes an instance.
+// Config configures an instance.
 type Config struct {
 	Name      fleet.InstanceID
 	Zone      fleet.ZoneID
 	Listen    string // "IP:port"
-	List      string // address of the instance list
-	Catalogue string // file
-	Instances int    // among which limits are split
+	List      string // address of the platform's instance list, "IP:port"
+	Catalogue string // path of the catalogue file
+	Instances int    // number of instances among which limits are divided equally
 }
 
 const (
-	refreshEvery = 500 * time.Millisecond
-	dialTimeout  = 200 * time.Millisecond
-	// upstreamConns divides the 120 connections of an upstream among 12 instances.
-	upstreamConns = 10
+	// refreshInterval is the time between two reads of the instance list and of the
+	// catalogue file.
+	refreshInterval = 500 * time.Millisecond
+	dialTimeout     = 200 * time.Millisecond
+	// connsPerUpstream is the maximum number of connections of an instance to an
+	// upstream. An upstream has 120 connections, divided among 12 instances.
+	connsPerUpstream = 10
 )
 
 // Server is a running instance.
@@ -50,26 +53,27 @@
 	stop   context.CancelFunc
 	done   chan struct{}
 
-	state    atomic.Pointer[state]
-	pools    map[string]*http1.Pool // written by refresh only
-	modified time.Time
-	nextID   atomic.Int64
+	snapshot          atomic.Pointer[snapshot]
+	pools             map[string]*http1.Pool // by address; used by refresh only
+	catalogueModified time.Time
+	nextID            atomic.Int64
 }
 
-// state is what requests are decided by. It is replaced as a whole.
-type state struct {
-	catalogue *catalogue.Catalogue
-	accounts  map[fleet.CallerKeyHash]fleet.AccountID
-	limiters  map[fleet.LimitID]*rate.Limiter
-	upstreams []load.Target // in service
-	pools     map[string]*http1.Pool
-	out       bool // this instance or its zone is out of service
+// snapshot is the catalogue and the upstreams that requests are routed with. It is
+// immutable: a refresh replaces it as a whole.
+type snapshot struct {
+	catalogue    *catalogue.Catalogue
+	accounts     map[fleet.CallerKeyHash]fleet.AccountID
+	limiters     map[fleet.LimitID]*rate.Limiter
+	upstreams    []load.Target // those in service
+	pools        map[string]*http1.Pool
+	outOfService bool // whether this instance or its zone is out of service
 }
 
-// Start starts an instance. The first catalogue must be readable.
+// Start starts an instance. It fails if the catalogue file cannot be read and parsed.
 func Start(cfg Config) (*Server, error) {
 	if cfg.Instances < 1 {
-		return nil, errors.Errorf("instances %d: want 1 or more", cfg.Instances)
+		return nil, errors.Errorf("number of instances is %d, want at least 1", cfg.Instances)
 	}
 	client, err := http1.NewClient()
 	if err != nil {
@@ -80,8 +84,8 @@
 		cfg: cfg, client: client, list: platform.NewList(client, cfg.List), stop: stop, done: make(chan struct{}),
 		pools: make(map[string]*http1.Pool),
 	}
-	s.state.Store(&state{})
-	if err := s.readCatalogue(); err != nil {
+	s.snapshot.Store(&snapshot{})
+	if err := s.reloadCatalogue(); err != nil {
 		stop()
 		client.Close()
 		return nil, err
@@ -95,10 +99,10 @@
 	return s, nil
 }
 
-// Addr returns the address that the instance listens on.
+// Addr returns the address that the instance listens on, "IP:port".
 func (s *Server) Addr() string { return s.server.Addr() }
 
-// Close stops at once.
+// Close stops the instance at once, without waiting for its requests.
 func (s *Server) Close() {
 	s.stop()
 	<-s.done
@@ -106,15 +110,16 @@
 	s.client.Close()
 }
 
-// refresh reads the list and the catalogue until ctx ends.
+// refresh reads the catalogue file and the instance list at regular intervals until ctx
+// is cancelled.
 func (s *Server) refresh(ctx context.Context) {
 	defer close(s.done)
-	tick := time.NewTicker(refreshEvery)
+	tick := time.NewTicker(refreshInterval)
 	defer tick.Stop()
 	for {
-		// A file or list that cannot be read leaves the last one in use.
-		_ = s.readCatalogue()
-		s.readList(ctx)
+		// After a failed read the last catalogue or list stays in use.
+		_ = s.reloadCatalogue()
+		s.reloadUpstreams(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -123,12 +128,13 @@
 	}
 }
 
-func (s *Server) readCatalogue() error {
+// reloadCatalogue reads the catalogue file if its modification time has changed.
+func (s *Server) reloadCatalogue() error {
 	info, err := os.Stat(s.cfg.Catalogue)
 	if err != nil {
 		return errors.Wrap(err, "catalogue")
 	}
-	if info.ModTime().Equal(s.modified) {
+	if info.ModTime().Equal(s.catalogueModified) {
 		return nil
 	}
 	data, err := os.ReadFile(s.cfg.Catalogue)
@@ -139,9 +145,9 @@
 	if err != nil {
 		return err
 	}
-	s.modified = info.ModTime()
-	old := s.state.Load()
-	next := &state{
+	s.catalogueModified = info.ModTime()
+	old := s.snapshot.Load()
+	next := &snapshot{
 		catalogue: c, accounts: make(map[fleet.CallerKeyHash]fleet.AccountID), limiters: make(map[fleet.LimitID]*rate.Limiter),
 		upstreams: old.upstreams, pools: old.pools,
 	}
@@ -149,38 +155,40 @@
 		next.accounts[k.Hash] = k.Account
 	}
 	for _, a := range c.Accounts {
-		s.keepLimiter(old, next, fleet.AccountLimit(a.ID), a.Limit)
+		s.carryOverLimiter(old, next, fleet.AccountLimit(a.ID), a.Limit)
 	}
 	for _, e := range c.Entries {
-		s.keepLimiter(old, next, fleet.EntryLimit(e.ID), e.Limit)
+		s.carryOverLimiter(old, next, fleet.EntryLimit(e.ID), e.Limit)
 	}
-	_, out := c.Out(catalogue.OutageZone, string(s.cfg.Zone))
-	_, self := c.Out(catalogue.OutageInstance, string(s.cfg.Name))
-	next.out = out || self
-	s.state.Store(next)
+	_, zoneOut := c.Out(catalogue.OutageZone, string(s.cfg.Zone))
+	_, instanceOut := c.Out(catalogue.OutageInstance, string(s.cfg.Name))
+	next.outOfService = zoneOut || instanceOut
+	s.snapshot.Store(next)
 	return nil
 }
 
-// keepLimiter keeps the level of a limiter whose limit did not change.
-func (s *Server) keepLimiter(old, next *state, id fleet.LimitID, l fleet.Limit) {
+// carryOverLimiter puts the limiter of a limit into next. If the limit is unchanged it
+// reuses the limiter of old, so that the token bucket keeps its level.
+func (s *Server) carryOverLimiter(old, next *snapshot, id fleet.LimitID, l fleet.Limit) {
 	if l.Unlimited() {
 		return
 	}
-	part := rate.Limit(float64(l.Rate) / float64(s.cfg.Instances))
+	instanceRate := rate.Limit(float64(l.Rate) / float64(s.cfg.Instances))
 	burst := max(1, int(l.Burst)/s.cfg.Instances)
-	if o := old.limiters[id]; o != nil && o.Limit() == part && o.Burst() == burst {
-		next.limiters[id] = o
+	if current := old.limiters[id]; current != nil && current.Limit() == instanceRate && current.Burst() == burst {
+		next.limiters[id] = current
 		return
 	}
-	next.limiters[id] = rate.NewLimiter(part, burst)
+	next.limiters[id] = rate.NewLimiter(instanceRate, burst)
 }
 
-func (s *Server) readList(ctx context.Context) {
+// reloadUpstreams fetches the instance list and replaces the upstreams in service.
+func (s *Server) reloadUpstreams(ctx context.Context) {
 	listed, err := s.list.Fetch(ctx)
 	if err != nil {
 		return
 	}
-	next := *s.state.Load()
+	next := *s.snapshot.Load()
 	next.upstreams, next.pools = nil, make(map[string]*http1.Pool)
 	for _, l := range listed {
 		if l.Kind != platform.KindUpstream || l.State != platform.StateLive {
@@ -193,10 +201,10 @@
 			continue
 		}
 		if s.pools[l.Address] == nil {
-			s.pools[l.Address] = s.client.NewPool(l.Address, http1.PoolConfig{MaxConns: upstreamConns, DialTimeout: dialTimeout})
+			s.pools[l.Address] = s.client.NewPool(l.Address, http1.PoolConfig{MaxConns: connsPerUpstream, DialTimeout: dialTimeout})
 		}
 		next.upstreams = append(next.upstreams, load.Target{Name: l.Name, Addr: l.Address, Service: l.Service})
 		next.pools[l.Address] = s.pools[l.Address]
 	}
-	s.state.Store(&next)
+	s.snapshot.Store(&next)
 }
--- a/internal/standin/baseline/serve.go
+++ b/internal/standin/baseline/serve.go
@@ -17,8 +17,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// job is a request that has passed authentication and limits.
-type job struct {
+// admittedRequest is a request that has passed authentication and rate limits.
+type admittedRequest struct {
 	entry    catalogue.Entry
 	account  fleet.AccountID
 	key      fleet.RoutingKey
@@ -26,25 +26,26 @@
 	request  *http1.Request
 }
 
+// serve answers health checks, and authenticates, limits and forwards requests.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	st := s.state.Load()
+	snap := s.snapshot.Load()
 	switch r.URL.Path {
 	case "/-/live":
 		return
 	case "/-/ready":
-		if st.out || len(st.upstreams) == 0 {
+		if snap.outOfService || len(snap.upstreams) == 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	j, refusal := s.decide(st, r)
+	req, refusal := s.admit(snap, r)
 	if refusal != nil {
-		refuse(w, refusal)
+		writeRefusal(w, refusal)
 		return
 	}
-	res, refusal := s.forward(r.Context(), j)
+	res, refusal := s.forward(r.Context(), req)
 	if refusal != nil {
-		refuse(w, refusal)
+		writeRefusal(w, refusal)
 		return
 	}
 	for name, values := range res.Header {
@@ -54,23 +55,25 @@
 	_, _ = w.Write(res.Body)
 }
 
-func (s *Server) decide(st *state, r *http.Request) (job, *fleet.Refusal) {
+// admit authenticates a request, finds its entry and charges the rate limits of the
+// account and the entry.
+func (s *Server) admit(snap *snapshot, r *http.Request) (admittedRequest, *fleet.Refusal) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return job{}, &fleet.Refusal{Reason: fleet.ReasonBadRequest}
+		return admittedRequest{}, &fleet.Refusal{Reason: fleet.ReasonBadRequest}
 	}
 	bearer := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
-	account, ok := st.accounts[fleet.CallerKey(bearer).Hash()]
+	account, ok := snap.accounts[fleet.CallerKey(bearer).Hash()]
 	if !ok {
-		return job{}, &fleet.Refusal{Reason: fleet.ReasonUnauthenticated}
+		return admittedRequest{}, &fleet.Refusal{Reason: fleet.ReasonUnauthenticated}
 	}
-	entry, ok := match(st.catalogue, r.URL.Path)
+	entry, ok := matchEntry(snap.catalogue, r.URL.Path)
 	if !ok {
-		return job{}, &fleet.Refusal{Reason: fleet.ReasonNoRoute}
+		return admittedRequest{}, &fleet.Refusal{Reason: fleet.ReasonNoRoute}
 	}
 	for _, id := range []fleet.LimitID{fleet.AccountLimit(account), fleet.EntryLimit(entry.ID)} {
-		if l := st.limiters[id]; l != nil && !l.Allow() {
-			return job{}, &fleet.Refusal{Reason: fleet.ReasonRateLimited, RetryAfter: time.Second}
+		if l := snap.limiters[id]; l != nil && !l.Allow() {
+			return admittedRequest{}, &fleet.Refusal{Reason: fleet.ReasonRateLimited, RetryAfter: time.Second}
 		}
 	}
 	timeout, err := strconv.Atoi(r.Header.Get(fleet.HeaderDeadline))
@@ -79,13 +82,14 @@
 	}
 	header := r.Header.Clone()
 	header.Del("Authorization")
-	return job{
+	return admittedRequest{
 		entry: entry, account: account, key: routingKey(entry, r), deadline: time.Now().Add(time.Duration(timeout) * time.Millisecond),
 		request: &http1.Request{Method: r.Method, Target: r.URL.RequestURI(), Header: header, Body: body},
 	}, nil
 }
 
-func match(c *catalogue.Catalogue, path string) (best catalogue.Entry, ok bool) {
+// matchEntry returns the entry with the longest path prefix that path starts with.
+func matchEntry(c *catalogue.Catalogue, path string) (best catalogue.Entry, ok bool) {
 	for _, e := range c.Entries {
 		if strings.HasPrefix(path, e.PathPrefix) && len(e.PathPrefix) > len(best.PathPrefix) {
 			best, ok = e, true
@@ -94,6 +98,8 @@
 	return best, ok
 }
 
+// routingKey extracts the routing key of a request as its entry configures it: from a
+// header, a query parameter or a segment of the path.
 func routingKey(e catalogue.Entry, r *http.Request) fleet.RoutingKey {
 	switch e.RoutingKey.From {
 	case catalogue.FromHeader:
@@ -109,22 +115,23 @@
 	}
 }
 
-// forward sends the request to the upstream that the hash names, and an
-// idempotent one once more if it failed.
-func (s *Server) forward(ctx context.Context, j job) (*http1.Response, *fleet.Refusal) {
-	ctx, cancel := context.WithDeadline(ctx, j.deadline)
+// forward sends a request to the upstream that its routing key hashes to. It retries
+// an idempotent request once after a failed attempt.
+func (s *Server) forward(ctx context.Context, req admittedRequest) (*http1.Response, *fleet.Refusal) {
+	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	defer cancel()
-	tries := 1
-	if j.entry.Class == catalogue.Idempotent {
-		tries = 2
+	attempts := 1
+	if req.entry.Class == catalogue.Idempotent {
+		attempts = 2
 	}
 	var refusal *fleet.Refusal
-	for range tries {
-		res, failed := s.attempt(ctx, j)
+	for range attempts {
+		res, failed := s.attempt(ctx, req)
 		if failed == nil {
 			return res, nil
 		}
-		// An attempt that may have run decides the outcome of the whole request.
+		// A refusal with an unknown outcome takes precedence over one with not-run,
+		// because the request may have been executed.
 		if refusal == nil || refusal.Reason.Outcome() == fleet.NotRun {
 			refusal = failed
 		}
@@ -132,17 +139,18 @@
 	return nil, refusal
 }
 
-func (s *Server) attempt(ctx context.Context, j job) (*http1.Response, *fleet.Refusal) {
-	st := s.state.Load() // read again for a retry, since the list may have changed
-	owner := load.Owner(st.upstreams, j.entry.Service, j.key)
+// attempt sends a request once to the upstream that owns its routing key.
+func (s *Server) attempt(ctx context.Context, req admittedRequest) (*http1.Response, *fleet.Refusal) {
+	snap := s.snapshot.Load() // loaded for each attempt, since a retry may find a newer list
+	owner := load.Owner(snap.upstreams, req.entry.Service, req.key)
 	if owner.Addr == "" {
 		return nil, &fleet.Refusal{Reason: fleet.ReasonNoOwner}
 	}
 	id := string(s.cfg.Name) + "-" + strconv.FormatInt(s.nextID.Add(1), 36)
-	request := *j.request
-	request.Header = j.request.Header.Clone()
-	load.SetUpstreamHeaders(request.Header, time.Now(), load.Outgoing{ID: id, Account: j.account, Key: j.key, Deadline: j.deadline})
-	res, err := st.pools[owner.Addr].Do(ctx, &request)
+	request := *req.request
+	request.Header = req.request.Header.Clone()
+	load.SetUpstreamHeaders(request.Header, time.Now(), load.Outgoing{ID: id, Account: req.account, Key: req.key, Deadline: req.deadline})
+	res, err := snap.pools[owner.Addr].Do(ctx, &request)
 	var notSent *http1.NotSentError
 	switch {
 	case errors.As(err, &notSent):
@@ -159,7 +167,9 @@
 	return res, nil
 }
 
-func refuse(w http.ResponseWriter, r *fleet.Refusal) {
+// writeRefusal answers a refused request with its outcome and reason, in headers and as
+// JSON.
+func writeRefusal(w http.ResponseWriter, r *fleet.Refusal) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(fleet.HeaderOutcome, string(r.Reason.Outcome()))
