--- a/internal/standin/demo/demo.go
+++ b/internal/standin/demo/demo.go
@@ -1,7 +1,8 @@
-// Package demo runs a fleet under load through the loss of an upstream and the
-// departure and return of a zone, does the same with the baseline, and compares
-// them. The added latency is measured at half of the upstreams' capacity against
-// direct connections to the same kind of upstreams.
+// Package demo runs a demonstration of the router. It puts a fleet of the router and a
+// fleet of the baseline under the same load while an upstream is killed and a
+// zone is taken out of service and put back, and compares the two. It measures the
+// latency that the router adds at half of the upstreams' capacity, against direct
+// connections to upstreams of the same kind.
 package demo
 
 import (
@@ -18,48 +19,53 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/standin/report"
 )
 
-// Config describes a demonstration.
+// Config configures a demonstration.
 type Config struct {
 	Shape    lab.Shape
-	Duration time.Duration // of the main phase
-	Rate     float64       // requests/s; 0: mainShare of the capacity
+	Duration time.Duration // of the load of the main phase
+	Rate     float64       // requests/s of the main phase; 0: mainLoadShare of the capacity
 	Seed     uint64
-	Dir      string
-	Out      io.Writer
-	Kinds    []lab.Kind // empty: all
+	Dir      string     // for logs, histories and reports
+	Out      io.Writer  // for progress and reports
+	Kinds    []lab.Kind // of fleets to run; empty: all
 }
 
-// Times of the events as shares of the duration: 10 s, 17 s and 24 s of 30 s.
+// Times of the events of the main phase as shares of its duration, from 0 to 1: after
+// 10 s, 17 s and 24 s of 30 s.
 const (
-	killAt    = 10.0 / 30
-	zoneOutAt = 17.0 / 30
-	zoneInAt  = 24.0 / 30
+	killShare    = 10.0 / 30
+	zoneOutShare = 17.0 / 30
+	zoneInShare  = 24.0 / 30
 )
 
 const (
-	// mainShare of the capacity leaves the upstreams that remain after the loss of
-	// one and of a zone below two thirds of theirs on average.
-	mainShare = 0.35
-	halfShare = 0.5
-	// halfTime is how long the load is at half of the capacity. The latency is
-	// measured after its first 2 s.
-	halfTime = 4 * time.Second
-	// Upstreams warm at warmShare of the capacity first. Without this, requests
-	// that queue at cold upstreams raised the p99 at half load to 800 ms.
-	warmShare = 0.25
-	warmTime  = 3 * time.Second
-	// lateness is how long a phase may take longer than its load.
-	lateness = 10 * time.Second
-	// hotChange is the share of the duration after which the hot keys change. No
-	// event falls near a change, so that keys are asked for around each event.
-	hotChange = 0.45
+	// mainLoadShare is the load of the main phase as a share of the upstreams'
+	// capacity. It keeps the upstreams that remain after the loss of one upstream and
+	// of one zone below two thirds of their capacity on average.
+	mainLoadShare = 0.35
+	// halfLoadShare is the load of the half-load phase as a share of the capacity.
+	halfLoadShare = 0.5
+	// halfLoadDuration is the duration of the half-load phase. Its latency is measured
+	// after the first 2 s.
+	halfLoadDuration = 4 * time.Second
+	// warmUpLoadShare is the load of the warm-up phase as a share of the capacity.
+	// Without a warm-up, requests that queued at cold upstreams raised the p99
+	// latency at half load to 800 ms.
+	warmUpLoadShare = 0.25
+	warmUpDuration  = 3 * time.Second
+	// phaseOverrun is the time that a phase may take beyond the duration of its load.
+	phaseOverrun = 10 * time.Second
+	// hotChangeShare is the share of the main phase's duration after which the set of
+	// hot keys changes. No event is close to a change, so that requests for the
+	// same keys precede and follow each event.
+	hotChangeShare = 0.45
 )
 
-// Names of the phases, which are directories in the fleet's.
+// Names of the phases, and of their directories below the directory of the fleet.
 const (
-	warmName = "warm-up"
-	halfName = "half-load"
-	mainName = "main"
+	warmUpPhase   = "warm-up"
+	halfLoadPhase = "half-load"
+	mainPhase     = "main"
 )
 
 // demo is a demonstration in progress.
@@ -70,10 +76,11 @@
 	reports  map[lab.Kind]map[string]report.Report // by phase
 }
 
-// Run runs the demonstration and prints its reports.
+// Run runs the demonstration and prints its reports. It fails if a figure of the router
+// that must be 0 is not.
 func Run(ctx context.Context, cfg Config) error {
 	if cfg.Rate <= 0 {
-		cfg.Rate = mainShare * cfg.Shape.Capacity()
+		cfg.Rate = mainLoadShare * cfg.Shape.Capacity()
 	}
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return err
@@ -89,16 +96,16 @@
 		cfg.Kinds = []lab.Kind{lab.Direct, lab.Router, lab.Baseline}
 	}
 	for _, kind := range cfg.Kinds {
-		if err := d.fleet(ctx, kind); err != nil {
+		if err := d.runFleet(ctx, kind); err != nil {
 			return errors.Wrap(err, string(kind))
 		}
 	}
-	return d.compare()
+	return d.writeReports()
 }
 
-// fleet runs the phases of one kind of fleet.
-func (d *demo) fleet(ctx context.Context, kind lab.Kind) error {
-	began := time.Now()
+// runFleet starts a fleet of one kind, runs its phases and computes their reports.
+func (d *demo) runFleet(ctx context.Context, kind lab.Kind) error {
+	startedAt := time.Now()
 	f, err := lab.Start(ctx, lab.Options{
 		Shape: d.Shape, Kind: kind, Dir: filepath.Join(d.Dir, string(kind)), Binaries: d.binaries, Rate: d.Rate, Seed: d.Seed,
 	})
@@ -106,20 +113,20 @@
 		return err
 	}
 	defer f.Close()
-	fmt.Fprintf(d.Out, "%s: serving after %s\n", kind, time.Since(began).Round(100*time.Millisecond))
+	fmt.Fprintf(d.Out, "%s: serving after %s\n", kind, time.Since(startedAt).Round(100*time.Millisecond))
 	var phases []*lab.Phase
-	for _, t := range d.traffic(kind) {
+	for _, t := range d.trafficFor(kind) {
 		var events []event
-		if t.Name == mainName {
-			events = d.events(ctx, f)
+		if t.Name == mainPhase {
+			events = d.mainEvents(ctx, f)
 		}
-		p, err := d.phase(ctx, f, t, events)
+		p, err := d.runPhase(ctx, f, t, events)
 		if err != nil {
 			return err
 		}
 		phases = append(phases, p)
 	}
-	f.Close() // histories are complete only after the end of the processes
+	f.Close() // processes complete their histories when they end
 	d.reports[kind] = make(map[string]report.Report)
 	for _, p := range phases {
 		h, err := report.Read(p.Dir, f.Dir)
@@ -131,67 +138,70 @@
 	return nil
 }
 
-// traffic returns the phases of a kind of fleet. Upstreams reached directly are
-// warm from the start, and have no comparable main phase.
-func (d *demo) traffic(kind lab.Kind) (out []lab.Traffic) {
+// trafficFor returns the load of each phase of a kind of fleet. Upstreams that are
+// reached directly need no warm-up, because they start warm, and have no comparable
+// main phase.
+func (d *demo) trafficFor(kind lab.Kind) (out []lab.Traffic) {
 	capacity := d.Shape.Capacity()
 	if kind != lab.Direct {
-		out = append(out, lab.Traffic{Name: warmName, Rate: warmShare * capacity, Duration: warmTime, Steady: true})
+		out = append(out, lab.Traffic{Name: warmUpPhase, Rate: warmUpLoadShare * capacity, Duration: warmUpDuration, Steady: true})
 	}
 	if kind != lab.Baseline {
-		out = append(out, lab.Traffic{Name: halfName, Rate: halfShare * capacity, Duration: halfTime, Steady: true})
+		out = append(out, lab.Traffic{Name: halfLoadPhase, Rate: halfLoadShare * capacity, Duration: halfLoadDuration, Steady: true})
 	}
 	if kind != lab.Direct {
 		out = append(out, lab.Traffic{
-			Name: mainName, Rate: d.Rate, Duration: d.Duration, HotChange: time.Duration(hotChange * float64(d.Duration)),
+			Name: mainPhase, Rate: d.Rate, Duration: d.Duration, HotChange: time.Duration(hotChangeShare * float64(d.Duration)),
 		})
 	}
 	return out
 }
 
-// event is something to do during a phase.
+// event is an action at a given time after the start of a phase.
 type event struct {
-	after time.Duration
-	what  string
-	do    func() error
+	offset      time.Duration
+	description string
+	action      func() error
 }
 
-// events returns what happens in the main phase.
-func (d *demo) events(ctx context.Context, f *lab.Fleet) []event {
+// mainEvents returns the events of the main phase in the order of their times.
+func (d *demo) mainEvents(ctx context.Context, f *lab.Fleet) []event {
 	at := func(share float64) time.Duration { return time.Duration(share * float64(d.Duration)) }
 	victim := string(lab.UpstreamID(d.Shape.Services[0].ID, 2))
 	zone := d.Shape.Zones[len(d.Shape.Zones)-1]
 	return []event{
-		{at(killAt), "SIGKILL to " + victim, func() error { return f.Kill(ctx, victim) }},
-		{at(zoneOutAt), "zone " + string(zone) + " out of service", func() error { return f.ZoneOut(ctx, zone) }},
-		{at(zoneInAt), "zone " + string(zone) + " back in service", func() error { return f.ZoneIn(ctx, zone) }},
+		{at(killShare), "SIGKILL to " + victim, func() error { return f.Kill(ctx, victim) }},
+		{at(zoneOutShare), "zone " + string(zone) + " out of service", func() error { return f.ZoneOut(ctx, zone) }},
+		{at(zoneInShare), "zone " + string(zone) + " back in service", func() error { return f.ZoneIn(ctx, zone) }},
 	}
 }
 
-// phase runs load and the events meanwhile.
-func (d *demo) phase(ctx context.Context, f *lab.Fleet, t lab.Traffic, events []event) (*lab.Phase, error) {
-	began := time.Now()
+// runPhase starts the load of a phase, carries out the events at their times and waits
+// for the end of the load.
+func (d *demo) runPhase(ctx context.Context, f *lab.Fleet, t lab.Traffic, events []event) (*lab.Phase, error) {
+	startedAt := time.Now()
 	p, err := f.StartLoad(t)
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range events {
-		if err := wait(ctx, p, time.Until(began.Add(e.after))); err != nil {
+		if err := waitOrDone(ctx, p, time.Until(startedAt.Add(e.offset))); err != nil {
 			return nil, err
 		}
-		fmt.Fprintf(d.Out, "%s: %5.1f s  %s\n", f.Kind, time.Since(began).Seconds(), e.what)
-		if err := e.do(); err != nil {
-			return nil, errors.Wrap(err, e.what)
+		fmt.Fprintf(d.Out, "%s: %5.1f s  %s\n", f.Kind, time.Since(startedAt).Seconds(), e.description)
+		if err := e.action(); err != nil {
+			return nil, errors.Wrap(err, e.description)
 		}
 	}
-	if err := wait(ctx, p, time.Until(began.Add(t.Duration+lateness))); err != nil {
+	if err := waitOrDone(ctx, p, time.Until(startedAt.Add(t.Duration+phaseOverrun))); err != nil {
 		return nil, err
 	}
 	return p, p.Finish(string(f.Kind)+" "+t.Name, 0)
 }
 
-// wait waits for d, the end of the load or the end of ctx.
-func wait(ctx context.Context, p *lab.Phase, d time.Duration) error {
+// waitOrDone waits until d has passed or the load of p has ended. It returns an error if
+// ctx is cancelled first.
+func waitOrDone(ctx context.Context, p *lab.Phase, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -203,12 +213,13 @@
 	return nil
 }
 
-// compare prints and writes the reports.
-func (d *demo) compare() error {
-	direct, withDirect := d.reports[lab.Direct][halfName]
-	if half, ok := d.reports[lab.Router][halfName]; ok && withDirect {
+// writeReports writes the reports to the directories of their phases, prints the
+// comparisons and checks the router's guarantees.
+func (d *demo) writeReports() error {
+	direct, withDirect := d.reports[lab.Direct][halfLoadPhase]
+	if half, ok := d.reports[lab.Router][halfLoadPhase]; ok && withDirect {
 		half.AddLatencyAgainst(direct)
-		d.reports[lab.Router][halfName] = half
+		d.reports[lab.Router][halfLoadPhase] = half
 	}
 	for kind, phases := range d.reports {
 		for name, r := range phases {
@@ -218,32 +229,33 @@
 		}
 	}
 	for _, kind := range []lab.Kind{lab.Router, lab.Baseline} {
-		if r, ok := d.reports[kind][mainName]; ok {
+		if r, ok := d.reports[kind][mainPhase]; ok {
 			fmt.Fprintf(d.Out, "\n%s", r.Table())
 		}
 	}
-	if half, ok := d.reports[lab.Router][halfName]; ok && withDirect {
+	if half, ok := d.reports[lab.Router][halfLoadPhase]; ok && withDirect {
 		fmt.Fprintf(d.Out, "\ncomparison with direct connections at half of the capacity (%.0f requests/s)\n%s",
-			halfShare*d.Shape.Capacity(), half.Compare(direct))
+			halfLoadShare*d.Shape.Capacity(), half.Compare(direct))
 	}
-	baseline, withBaseline := d.reports[lab.Baseline][mainName]
-	if main, ok := d.reports[lab.Router][mainName]; ok && withBaseline {
+	baseline, withBaseline := d.reports[lab.Baseline][mainPhase]
+	if main, ok := d.reports[lab.Router][mainPhase]; ok && withBaseline {
 		fmt.Fprintf(d.Out, "\ncomparison with the baseline\n%s", main.Compare(baseline))
 	}
-	return d.verdict()
+	return d.checkGuarantees()
 }
 
-// verdict returns an error if a guarantee of the router was broken.
-func (d *demo) verdict() error {
-	broken := 0
-	for _, name := range []string{warmName, halfName, mainName} {
+// checkGuarantees prints the router's figures that must be 0 and are not, and returns an
+// error if there are any.
+func (d *demo) checkGuarantees() error {
+	violations := 0
+	for _, name := range []string{warmUpPhase, halfLoadPhase, mainPhase} {
 		for _, f := range d.reports[lab.Router][name].Broken() {
-			broken++
+			violations++
 			fmt.Fprintf(d.Out, "BROKEN in %s: %s: %.0f %s\n", name, f.Name, f.Value, f.Note)
 		}
 	}
-	if broken > 0 {
-		return errors.Errorf("%d of the router's figures that must be 0 are not", broken)
+	if violations > 0 {
+		return errors.Errorf("%d of the router's figures that must be 0 are not", violations)
 	}
 	return nil
 }
