--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -11,45 +11,47 @@
 	"time"
 )
 
-// run is a request that an upstream began to work on.
-type run struct {
-	at       time.Time
-	upstream *upstream
-	account  string
+// execution is a request whose execution an upstream started.
+type execution struct {
+	startedAt time.Time
+	upstream  *upstream
+	account   string
 }
 
-// runs is what upstreams have seen.
-type runs struct {
-	mu       sync.Mutex
-	byID     map[string][]run
-	broken   []string // promises that were broken as a request arrived
-	revoked  map[string]time.Time
-	lateness map[string]time.Duration // of requests to an upstream that had left
+// executionLog records what upstreams observed.
+type executionLog struct {
+	mu              sync.Mutex
+	byRequestID     map[string][]execution
+	violations      []string                 // guarantees found broken when an execution started
+	withdrawnAt     map[string]time.Time     // by caller key
+	delayAfterLeave map[string]time.Duration // by request id: from the upstream's leave to the start of the execution
 }
 
-func newRuns() *runs {
-	return &runs{byID: make(map[string][]run), revoked: make(map[string]time.Time), lateness: make(map[string]time.Duration)}
+func newExecutionLog() *executionLog {
+	return &executionLog{byRequestID: make(map[string][]execution), withdrawnAt: make(map[string]time.Time), delayAfterLeave: make(map[string]time.Duration)}
 }
 
-// withdrawn notes that a caller key is in no configuration any more.
-func (r *runs) withdrawn(key string) {
+// recordWithdrawal records that a caller key was removed from the configuration.
+func (r *executionLog) recordWithdrawal(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.revoked[key] = time.Now()
+	r.withdrawnAt[key] = time.Now()
 }
 
-// began is called by an upstream that begins to work on a request.
-func (r *runs) began(w *world, u *upstream, req *http.Request) {
+// recordStart records that an upstream starts to execute a request, and checks the
+// request's target, its account, that it carries no caller key, and that only one
+// upstream holds its key.
+func (r *executionLog) recordStart(env *testEnv, u *upstream, req *http.Request) {
 	now := time.Now()
 	id := req.Header.Get("Request-Id")
-	parts := strings.Split(strings.Trim(req.URL.Path, "/"), "/") // kind, account, id
+	parts := strings.Split(strings.Trim(req.URL.Path, "/"), "/") // entry, account, request id
 	u.mu.Lock()
-	left := u.left
+	leftAt := u.leftAt
 	u.mu.Unlock()
 	var holders []string
 	if u.service == "vault" {
 		key, _ := strconv.Atoi(req.Header.Get("Shard-Key"))
-		for _, other := range w.live() {
+		for _, other := range env.currentUpstreams() {
 			if other.service == "vault" && other.Holds(key) {
 				holders = append(holders, other.ID())
 			}
@@ -57,121 +59,128 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.byID[id] = append(r.byID[id], run{at: now, upstream: u, account: req.Header.Get("Tenant")})
+	r.byRequestID[id] = append(r.byRequestID[id], execution{startedAt: now, upstream: u, account: req.Header.Get("Tenant")})
 	if len(parts) != 3 || parts[2] != id {
-		r.broken = append(r.broken, fmt.Sprintf("%s: run with target %s", id, req.URL.Path))
+		r.violations = append(r.violations, fmt.Sprintf("%s: executed with target %s", id, req.URL.Path))
 		return
 	}
 	if account := req.Header.Get("Tenant"); account != parts[1] {
-		r.broken = append(r.broken, fmt.Sprintf("%s of account %s: run for %q", id, parts[1], account))
+		r.violations = append(r.violations, fmt.Sprintf("%s of account %s: executed for account %q", id, parts[1], account))
 	}
 	if key := req.Header.Get("Api-Key"); key != "" {
-		r.broken = append(r.broken, fmt.Sprintf("%s: the caller key was passed on", id))
+		r.violations = append(r.violations, fmt.Sprintf("%s: the caller key was forwarded to the upstream", id))
 	}
 	if len(holders) > 1 {
-		r.broken = append(r.broken, fmt.Sprintf("%s: its key is held by %v at %v", id, holders, now.Sub(w.began)))
+		r.violations = append(r.violations, fmt.Sprintf("%s: its key is held by upstreams %v at once, %v after the start", id, holders, now.Sub(env.startedAt)))
 	}
-	if !left.IsZero() {
-		r.lateness[id] = now.Sub(left)
+	if !leftAt.IsZero() {
+		r.delayAfterLeave[id] = now.Sub(leftAt)
 	}
 }
 
-// check compares what callers were told with what upstreams saw.
-func (w *world) check(done []*attempt) (broken []string) {
-	r := w.runs
+// checkRequests compares the responses that callers received with the executions that
+// upstreams recorded, and returns the violations of the platform's guarantees.
+func (env *testEnv) checkRequests(requests []*callerRequest) (violations []string) {
+	r := env.executions
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	broken = append(broken, r.broken...)
-	sent := make(map[string]*attempt)
-	for _, a := range done {
-		sent[a.id] = a
-		ran := r.byID[a.id]
-		say := func(format string, args ...any) {
-			broken = append(broken, fmt.Sprintf("%s (%s, %s, sent at %.2f s): ", a.id, a.kind, a.in.name, a.sent.Sub(w.began).Seconds())+fmt.Sprintf(format, args...))
+	violations = append(violations, r.violations...)
+	byID := make(map[string]*callerRequest)
+	for _, cr := range requests {
+		byID[cr.id] = cr
+		executions := r.byRequestID[cr.id]
+		report := func(format string, args ...any) {
+			violations = append(violations, fmt.Sprintf("%s (%s, %s, sent at %.2f s): ", cr.id, cr.entry, cr.instance.name, cr.sentAt.Sub(env.startedAt).Seconds())+fmt.Sprintf(format, args...))
 		}
-		if a.kind == "book" && len(ran) > 1 {
-			say("ran %d times", len(ran))
+		if cr.entry == "book" && len(executions) > 1 {
+			report("executed %d times", len(executions))
 		}
-		if a.promise() && len(ran) > 0 && a.kind == "book" {
-			say("answered %d and ran", a.status)
+		if cr.promisesNotRun() && len(executions) > 0 && cr.entry == "book" {
+			report("answered with status %d but executed", cr.status)
 		}
-		if a.status == http.StatusOK && !slices.ContainsFunc(ran, func(x run) bool { return a.body == "by "+x.upstream.ID() && a.seal == "seal-"+x.upstream.ID() }) {
-			say("answer %q with seal %q of no upstream that ran it", a.body, a.seal)
+		if cr.status == http.StatusOK && !slices.ContainsFunc(executions, func(x execution) bool { return cr.body == "by "+x.upstream.ID() && cr.seal == "seal-"+x.upstream.ID() }) {
+			report("body %q and seal %q are of no upstream that executed the request", cr.body, cr.seal)
 		}
-		if a.status == http.StatusNotFound || a.status == http.StatusBadRequest {
-			say("answered %d", a.status)
+		if cr.status == http.StatusNotFound || cr.status == http.StatusBadRequest {
+			report("answered with status %d", cr.status)
 		}
 		var timeout interface{ Timeout() bool }
-		late := errors.As(a.err, &timeout) && timeout.Timeout()
-		if a.err != nil && !late && len(ran) > 0 && w.undisturbed(a, false) {
-			say("cut though it ran: %v", a.err)
+		timedOut := errors.As(cr.err, &timeout) && timeout.Timeout()
+		if cr.err != nil && !timedOut && len(executions) > 0 && env.undisturbed(cr, false) {
+			report("connection closed without a response although the request was executed: %v", cr.err)
 		}
-		w.checkBounds(a, ran, say)
+		env.checkTimeBounds(cr, executions, report)
 	}
-	for id := range r.byID {
-		if sent[id] == nil {
-			broken = append(broken, id+": run though no caller sent it")
+	for id := range r.byRequestID {
+		if byID[id] == nil {
+			violations = append(violations, id+": executed although no caller sent it")
 		}
 	}
-	return append(broken, w.checkLimits()...)
+	return append(violations, env.checkRateLimits()...)
 }
 
-// checkBounds checks what holds for instances that are in touch. The caller holds
-// the lock of runs.
-func (w *world) checkBounds(a *attempt, ran []run, say func(string, ...any)) {
-	r := w.runs
-	if !w.inTouch(a) {
+// checkTimeBounds checks the bounds on time: that requests stop reaching an upstream that
+// has left, and that withdrawn and new caller keys take effect. They hold only while
+// neither the instance nor the store is disturbed. The caller holds the lock of the
+// execution log.
+func (env *testEnv) checkTimeBounds(cr *callerRequest, executions []execution, report func(string, ...any)) {
+	r := env.executions
+	if !env.allUndisturbed(cr) {
 		return
 	}
-	if late := r.lateness[a.id]; late > drain {
-		say("reached %s %v after it had left", ran[len(ran)-1].upstream.ID(), late)
+	if delay := r.delayAfterLeave[cr.id]; delay > drainTime {
+		report("reached upstream %s %v after it had left", executions[len(executions)-1].upstream.ID(), delay)
 	}
-	if at, gone := r.revoked[a.key]; gone && a.sent.Sub(at) > inForce && len(ran) > 0 {
-		say("ran with a key that was withdrawn %v before", a.sent.Sub(at))
+	if at, withdrawn := r.withdrawnAt[cr.callerKey]; withdrawn && cr.sentAt.Sub(at) > inForceTime && len(executions) > 0 {
+		report("executed with a caller key withdrawn %v before the request", cr.sentAt.Sub(at))
 	}
-	if a.status == http.StatusUnauthorized {
-		if _, gone := r.revoked[a.key]; !gone && a.sent.Sub(w.began) > inForce && !w.recentKey(a) {
-			say("refused although its key is in force")
+	if cr.status == http.StatusUnauthorized {
+		if _, withdrawn := r.withdrawnAt[cr.callerKey]; !withdrawn && cr.sentAt.Sub(env.startedAt) > inForceTime && !env.keyChangedRecently(cr) {
+			report("refused although its caller key is in force")
 		}
 	}
 }
 
-// recentKey reports whether the configuration has changed so lately that the key of
-// a may not be in force.
-func (w *world) recentKey(a *attempt) bool {
-	_, stamp, changed := strings.Cut(a.key, "+")
+// keyChangedRecently reports whether the caller key of cr was issued so shortly before
+// the request that it may not be in force yet. The time of issue follows "+" in the
+// key; the first key of an account has none.
+func (env *testEnv) keyChangedRecently(cr *callerRequest) bool {
+	_, timestamp, changed := strings.Cut(cr.callerKey, "+")
 	if !changed {
 		return false
 	}
-	at, err := time.ParseInLocation("20060102 150405.000", a.sent.Format("20060102 ")+stamp, time.Local)
-	return err != nil || a.sent.Sub(at) < inForce+time.Second
+	changedAt, err := time.ParseInLocation("20060102 150405.000", cr.sentAt.Format("20060102 ")+timestamp, time.Local)
+	return err != nil || cr.sentAt.Sub(changedAt) < inForceTime+time.Second
 }
 
-// undisturbed reports whether the instance was not disturbed from contact before a
-// was sent to its end. Planned work counts if planned is set.
-func (w *world) undisturbed(a *attempt, planned bool) bool {
-	a.in.mu.Lock()
-	defer a.in.mu.Unlock()
-	return !touches(a.in.disturbed, a.sent, a.ended, planned)
+// undisturbed reports whether the instance of cr was free of disturbances from contactTime
+// before cr was sent to its end. Planned restarts count as disturbances if planned is
+// set.
+func (env *testEnv) undisturbed(cr *callerRequest, planned bool) bool {
+	cr.instance.mu.Lock()
+	defer cr.instance.mu.Unlock()
+	return !disturbedBetween(cr.instance.disturbances, cr.sentAt, cr.endedAt, planned)
 }
 
-// inTouch reports the same of the instance and of the store.
-func (w *world) inTouch(a *attempt) bool {
-	w.mu.Lock()
-	stored := touches(w.stored, a.sent, a.ended, true)
-	w.mu.Unlock()
-	return !stored && w.undisturbed(a, true)
+// allUndisturbed reports whether both the instance of cr and the store were free of
+// disturbances, planned ones included, from contactTime before cr was sent to its end.
+func (env *testEnv) allUndisturbed(cr *callerRequest) bool {
+	env.mu.Lock()
+	storeDisturbed := disturbedBetween(env.storeDisturbances, cr.sentAt, cr.endedAt, true)
+	env.mu.Unlock()
+	return !storeDisturbed && env.undisturbed(cr, true)
 }
 
-// checkLimits looks for a window in which an account got more than its limit.
-func (w *world) checkLimits() (broken []string) {
+// checkRateLimits returns a violation for each account that had more requests executed
+// within any quotaWindow than its rate, burst and tolerance allow.
+func (env *testEnv) checkRateLimits() (violations []string) {
 	byAccount := make(map[string][]time.Time)
-	for _, ran := range w.runs.byID {
-		for _, x := range ran {
-			byAccount[x.account] = append(byAccount[x.account], x.at)
+	for _, executions := range env.executions.byRequestID {
+		for _, ex := range executions {
+			byAccount[ex.account] = append(byAccount[ex.account], ex.startedAt)
 		}
 	}
-	for _, a := range firstConfig().accounts {
+	for _, a := range initialConfig().accounts {
 		if a.rate == 0 {
 			continue
 		}
@@ -179,15 +188,15 @@
 		times := byAccount[a.name]
 		slices.SortFunc(times, time.Time.Compare)
 		first := 0
-		for i, at := range times {
-			for at.Sub(times[first]) >= quotaWindow {
+		for i, startedAt := range times {
+			for startedAt.Sub(times[first]) >= quotaWindow {
 				first++
 			}
 			if n := i - first + 1; float64(n) > allowed {
-				broken = append(broken, fmt.Sprintf("account %s: %d requests within %v, at %.2f s; %.0f are allowed", a.name, n, quotaWindow, at.Sub(w.began).Seconds(), allowed))
+				violations = append(violations, fmt.Sprintf("account %s: %d requests executed within %v, at %.2f s; %.0f are allowed", a.name, n, quotaWindow, startedAt.Sub(env.startedAt).Seconds(), allowed))
 				break
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/soak/config_test.go
+++ b/soak/config_test.go
@@ -7,28 +7,31 @@
 	"time"
 )
 
-// Limits of the accounts. Both kinds of limits are there: acme's is divided among
-// the instances, tiny's is counted by its home.
+// Tolerance of rate limits, as in the settings of the instances. The accounts cover both
+// kinds of enforcement: the limit of acme is divided among the instances, and the limit
+// of tiny is counted by one instance, the account's home.
 const (
 	quotaWindow  = 5 * time.Second
-	quotaOverage = 0.1
-	quotaSlack   = 20
+	quotaOverage = 0.1 // tolerated excess, as a share of the limit
+	quotaSlack   = 20  // tolerated requests per window beyond that
 )
 
 // account is a client account as operators configure it.
 type account struct {
 	name        string
-	key         string
-	rate, burst int // 0 is no limit
+	key         string // caller key
+	rate, burst int    // requests/s and requests; 0: no limit
 }
 
-// config is the operators' configuration.
+// config is the operators' configuration of the router. It is immutable.
 type config struct {
 	version  int
 	accounts map[string]account
 }
 
-func firstConfig() config {
+// initialConfig returns the configuration at the start of a run: one account without a
+// limit and two with limits.
+func initialConfig() config {
 	return config{version: 3, accounts: map[string]account{
 		"free": {name: "free", key: "key-free"},
 		"acme": {name: "acme", key: "key-acme", rate: 60, burst: 60},
@@ -36,14 +39,15 @@
 	}}
 }
 
-// next returns the configuration after a change of one account.
-func (c config) next(a account) config {
+// withAccount returns a new version of the configuration with one account replaced.
+func (c config) withAccount(a account) config {
 	accounts := maps.Clone(c.accounts)
 	accounts[a.name] = a
 	return config{version: c.version + 2, accounts: accounts}
 }
 
-func (c config) text() string {
+// encode returns the configuration as the JSON that instances read from the store.
+func (c config) encode() string {
 	var accounts []string
 	for _, a := range c.accounts {
 		accounts = append(accounts, fmt.Sprintf(`{"name":%q,"apiKeys":[%q],"ratePerS":%d,"burst":%d}`, a.name, a.key, a.rate, a.burst))
@@ -53,5 +57,5 @@
   {"name":"read","prefix":"/read/","kind":"safe","timeout":"800ms","targetLatency":"400ms","service":"desk","maxAttempts":2},
   {"name":"book","prefix":"/book/","kind":"unsafe","timeout":"800ms","targetLatency":"400ms","service":"desk","maxAttempts":2},
   {"name":"keys","prefix":"/keys/","kind":"safe","timeout":"1500ms","targetLatency":"800ms","service":"vault","maxAttempts":2}]}]}`,
-		c.version, coldFor.Milliseconds(), coldFor.Milliseconds(), strings.Join(accounts, ","))
+		c.version, coldTime.Milliseconds(), coldTime.Milliseconds(), strings.Join(accounts, ","))
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -10,29 +10,29 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/standin/relay"
 )
 
-// between draws a duration.
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rng.Int64N(int64(most-least)))
+// randomDuration draws a duration of at least least and less than most.
+func (env *testEnv) randomDuration(least, most time.Duration) time.Duration {
+	return least + time.Duration(env.rng.Int64N(int64(most-least)))
 }
 
-// inject draws faults one after the other; they overlap. All have ended when it
-// returns.
-func (w *world) inject(d time.Duration) {
+// injectFaults starts random faults for a time d, with random pauses between their
+// starts, so that faults overlap. It returns when all faults have ended.
+func (env *testEnv) injectFaults(d time.Duration) {
 	var g sync.WaitGroup
 	defer g.Wait()
 	faults := []func(*sync.WaitGroup){
-		w.killOne, w.killOne, w.pauseOne, w.pauseOne, w.stopOne, w.stopOne, w.hangUp, w.killAll,
-		w.storeFault, w.storeFault, w.storeFault, w.storeLink, w.storeLink,
-		w.crashUpstream, w.crashUpstream, w.replaceUpstream, w.upstreamLink, w.upstreamLink,
-		w.changeConfig, w.changeConfig, w.evacuate,
+		env.killInstance, env.killInstance, env.pauseInstance, env.pauseInstance, env.terminateInstance, env.terminateInstance, env.hangUpInstance, env.killAllInstances,
+		env.storeFault, env.storeFault, env.storeFault, env.storeLinkFault, env.storeLinkFault,
+		env.crashUpstream, env.crashUpstream, env.replaceUpstream, env.upstreamLinkFault, env.upstreamLinkFault,
+		env.changeConfig, env.changeConfig, env.evacuateZone,
 	}
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(w.between(100*time.Millisecond, 900*time.Millisecond)) {
-		faults[w.rng.IntN(len(faults))](&g)
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(env.randomDuration(100*time.Millisecond, 900*time.Millisecond)) {
+		faults[env.rng.IntN(len(faults))](&g)
 	}
 }
 
-// later runs f after d, as a part of a fault.
-func later(g *sync.WaitGroup, d time.Duration, f func()) {
+// scheduleFunc runs f after d, and lets g wait for it.
+func scheduleFunc(g *sync.WaitGroup, d time.Duration, f func()) {
 	g.Add(1)
 	time.AfterFunc(d, func() {
 		defer g.Done()
@@ -40,85 +40,96 @@
 	})
 }
 
-func (w *world) anyInstance() *instance { return w.instances[w.rng.IntN(len(w.instances))] }
+// anyInstance draws an instance, which may be subject to a fault already.
+func (env *testEnv) anyInstance() *instance { return env.instances[env.rng.IntN(len(env.instances))] }
 
-func (w *world) killOne(g *sync.WaitGroup) {
-	in, down := w.anyInstance(), w.between(50*time.Millisecond, 2*time.Second)
-	if !in.take(down, false) {
+// killInstance kills a process and starts it again after a random time.
+func (env *testEnv) killInstance(g *sync.WaitGroup) {
+	in, down := env.anyInstance(), env.randomDuration(50*time.Millisecond, 2*time.Second)
+	if !in.beginFault(down, false) {
 		return
 	}
-	w.note("kill %s for %v", in.name, down)
+	env.logFault("kill %s for %v", in.name, down)
 	in.kill()
-	later(g, down, in.restart)
+	scheduleFunc(g, down, in.restart)
 }
 
-func (w *world) killAll(g *sync.WaitGroup) {
-	down := w.between(50*time.Millisecond, time.Second)
-	for _, in := range w.instances {
-		if in.take(down, false) {
-			w.note("kill %s for %v, with the others", in.name, down)
+// killAllInstances kills all processes that no other fault affects, and starts them again
+// together.
+func (env *testEnv) killAllInstances(g *sync.WaitGroup) {
+	down := env.randomDuration(50*time.Millisecond, time.Second)
+	for _, in := range env.instances {
+		if in.beginFault(down, false) {
+			env.logFault("kill %s for %v, together with other instances", in.name, down)
 			in.kill()
-			later(g, down, in.restart)
+			scheduleFunc(g, down, in.restart)
 		}
 	}
 }
 
-func (w *world) pauseOne(g *sync.WaitGroup) {
-	in, d := w.anyInstance(), w.between(200*time.Millisecond, 4*time.Second)
-	if !in.take(d, false) {
+// pauseInstance stops a process with SIGSTOP and continues it after a random time.
+func (env *testEnv) pauseInstance(g *sync.WaitGroup) {
+	in, d := env.anyInstance(), env.randomDuration(200*time.Millisecond, 4*time.Second)
+	if !in.beginFault(d, false) {
 		return
 	}
-	w.note("pause %s for %v", in.name, d)
+	env.logFault("pause %s for %v", in.name, d)
 	in.signal(syscall.SIGSTOP)
-	later(g, d, func() {
+	scheduleFunc(g, d, func() {
 		in.signal(syscall.SIGCONT)
-		in.disturb(0, false)
-		in.release()
+		in.recordDisturbance(0, false)
+		in.endFault()
 	})
 }
 
-// stopOne ends a process as the platform does, and starts it again.
-func (w *world) stopOne(g *sync.WaitGroup) {
-	in := w.anyInstance()
-	if !in.take(grace, true) {
+// terminateInstance ends a process with SIGTERM, as the platform does for a planned
+// restart, and starts it again. The process must exit within the grace period.
+func (env *testEnv) terminateInstance(g *sync.WaitGroup) {
+	in := env.anyInstance()
+	if !in.beginFault(gracePeriod, true) {
 		return
 	}
-	w.note("SIGTERM %s", in.name)
+	env.logFault("SIGTERM %s", in.name)
 	in.mu.Lock()
-	ended := in.ended
+	exited := in.exited
 	in.mu.Unlock()
 	in.signal(syscall.SIGTERM)
 	g.Add(1)
 	go func() {
 		defer g.Done()
 		select {
-		case <-ended:
-		case <-time.After(grace):
-			w.t.Errorf("%s is still there %v after SIGTERM", in.name, grace)
+		case <-exited:
+		case <-time.After(gracePeriod):
+			env.t.Errorf("%s is still running %v after SIGTERM; killing it", in.name, gracePeriod)
 			in.kill()
 		}
 		in.restart()
 	}()
 }
 
-func (w *world) hangUp(*sync.WaitGroup) {
-	in := w.anyInstance()
-	w.note("SIGHUP %s", in.name)
+// hangUpInstance sends SIGHUP to a process. It records no disturbance, so the signal must
+// not affect any guarantee.
+func (env *testEnv) hangUpInstance(*sync.WaitGroup) {
+	in := env.anyInstance()
+	env.logFault("SIGHUP %s", in.name)
 	in.signal(syscall.SIGHUP)
 }
 
-// disturbStore notes a disturbance of the store that lasts for d.
-func (w *world) disturbStore(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stored = append(w.stored, span{begin: time.Now(), end: time.Now().Add(d)})
+// recordStoreDisturbance records a disturbance of the store that starts now and lasts for
+// d.
+func (env *testEnv) recordStoreDisturbance(d time.Duration) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.storeDisturbances = append(env.storeDisturbances, disturbance{begin: time.Now(), end: time.Now().Add(d)})
 }
 
-func (w *world) storeFault(g *sync.WaitGroup) {
-	d := w.between(500*time.Millisecond, 4*time.Second)
-	rate := w.rng.Float64()
-	names := []string{"down", "refuses", "too many", "slow", "loses answers", "late", "forgets"}
-	name := names[w.rng.IntN(len(names))]
+// storeFault injects a random fault into the store for a random time. Most faults affect
+// either all calls or about every second call.
+func (env *testEnv) storeFault(g *sync.WaitGroup) {
+	d := env.randomDuration(500*time.Millisecond, 4*time.Second)
+	rate := env.rng.Float64()
+	names := []string{"down", "answers 503", "answers 429", "slow", "drops responses", "late", "drops history"}
+	name := names[env.rng.IntN(len(names))]
 	var mu sync.Mutex
 	sometimes := func(f standin.Fault) func(string) standin.Fault {
 		return func(string) standin.Fault {
@@ -130,33 +141,34 @@
 			return f
 		}
 	}
-	w.disturbStore(d)
-	w.note("store: %s for %v", name, d)
+	env.recordStoreDisturbance(d)
+	env.logFault("store: %s for %v", name, d)
 	switch name {
 	case "down":
-		w.store.FreezeLeases(rate < 0.5)
-		w.store.SetFault(func(string) standin.Fault { return standin.Fault{Silent: true} })
-	case "refuses":
-		w.store.SetFault(sometimes(standin.Fault{Status: 503}))
-	case "too many":
-		w.store.SetFault(sometimes(standin.Fault{Status: 429}))
+		env.store.FreezeLeases(rate < 0.5)
+		env.store.SetFault(func(string) standin.Fault { return standin.Fault{Silent: true} })
+	case "answers 503":
+		env.store.SetFault(sometimes(standin.Fault{Status: 503}))
+	case "answers 429":
+		env.store.SetFault(sometimes(standin.Fault{Status: 429}))
 	case "slow":
-		w.store.SetFault(sometimes(standin.Fault{Delay: 300 * time.Millisecond}))
-	case "loses answers":
-		w.store.SetFault(sometimes(standin.Fault{Lose: true}))
+		env.store.SetFault(sometimes(standin.Fault{Delay: 300 * time.Millisecond}))
+	case "drops responses":
+		env.store.SetFault(sometimes(standin.Fault{Lose: true}))
 	case "late":
-		w.store.SetFault(sometimes(standin.Fault{Late: w.between(time.Second, 4*time.Second)}))
-	case "forgets":
-		w.store.Forget()
+		env.store.SetFault(sometimes(standin.Fault{Late: env.randomDuration(time.Second, 4*time.Second)}))
+	case "drops history":
+		env.store.Forget()
 		return
 	}
-	later(g, d, func() {
-		w.store.SetFault(nil)
-		w.store.FreezeLeases(false)
+	scheduleFunc(g, d, func() {
+		env.store.SetFault(nil)
+		env.store.FreezeLeases(false)
 	})
 }
 
-// linkFaults are what may happen to a link; a held link delivers what was sent.
+// linkFaults are the faults that are injected into links. ModeHold is left out, because it
+// loses nothing: it delivers the bytes after the fault.
 var linkFaults = []relay.Fault{
 	{Mode: relay.ModeCut, Direction: relay.Both},
 	{Mode: relay.ModeCut, Direction: relay.ToClient},
@@ -167,123 +179,130 @@
 	{Mode: relay.ModeRefuse},
 }
 
-func (w *world) faultLink(g *sync.WaitGroup, route string, d time.Duration) {
-	f := linkFaults[w.rng.IntN(len(linkFaults))]
-	w.note("link %s: %s %s for %v", route, f.Mode, f.Direction, d)
-	if err := w.net.SetFault(route, f); err != nil {
-		w.t.Error(err)
+// injectLinkFault injects a random fault into the relay's route for d.
+func (env *testEnv) injectLinkFault(g *sync.WaitGroup, route string, d time.Duration) {
+	fault := linkFaults[env.rng.IntN(len(linkFaults))]
+	env.logFault("link %s: %s %s for %v", route, fault.Mode, fault.Direction, d)
+	if err := env.relays.SetFault(route, fault); err != nil {
+		env.t.Error(err)
 	}
-	later(g, d, func() {
-		if err := w.net.SetFault(route, relay.Fault{Mode: relay.ModeOK}); err != nil {
-			w.t.Error(err)
+	scheduleFunc(g, d, func() {
+		if err := env.relays.SetFault(route, relay.Fault{Mode: relay.ModeOK}); err != nil {
+			env.t.Error(err)
 		}
 	})
 }
 
-func (w *world) storeLink(g *sync.WaitGroup) {
-	in, d := w.anyInstance(), w.between(300*time.Millisecond, 4*time.Second)
-	if !in.take(d, false) {
+// storeLinkFault injects a fault into the link between a random instance and the store.
+func (env *testEnv) storeLinkFault(g *sync.WaitGroup) {
+	in, d := env.anyInstance(), env.randomDuration(300*time.Millisecond, 4*time.Second)
+	if !in.beginFault(d, false) {
 		return
 	}
-	w.faultLink(g, in.storeRoute(), d)
-	later(g, d, in.release)
+	env.injectLinkFault(g, in.storeRoute(), d)
+	scheduleFunc(g, d, in.endFault)
 }
 
-// anyUpstream draws an upstream that takes part, and of which there are others.
-func (w *world) anyUpstream() *upstream {
-	all := w.live()
+// anyActiveUpstream draws an upstream that is neither down nor leaving. It returns
+// nil if 20 draws find none.
+func (env *testEnv) anyActiveUpstream() *upstream {
+	all := env.currentUpstreams()
 	for range 20 {
-		u := all[w.rng.IntN(len(all))]
+		u := all[env.rng.IntN(len(all))]
 		u.mu.Lock()
-		sound := !u.down && u.left.IsZero()
+		active := !u.down && u.leftAt.IsZero()
 		u.mu.Unlock()
-		if sound {
+		if active {
 			return u
 		}
 	}
 	return nil
 }
 
-func (w *world) upstreamLink(g *sync.WaitGroup) {
-	if u := w.anyUpstream(); u != nil {
-		w.faultLink(g, u.route, w.between(300*time.Millisecond, 3*time.Second))
+// upstreamLinkFault injects a fault into the links from all instances to an upstream.
+func (env *testEnv) upstreamLinkFault(g *sync.WaitGroup) {
+	if u := env.anyActiveUpstream(); u != nil {
+		env.injectLinkFault(g, u.route, env.randomDuration(300*time.Millisecond, 3*time.Second))
 	}
 }
 
-func (w *world) crashUpstream(g *sync.WaitGroup) {
-	u, d := w.anyUpstream(), w.between(100*time.Millisecond, 3*time.Second)
+// crashUpstream crashes an upstream and restarts it after a random time.
+func (env *testEnv) crashUpstream(g *sync.WaitGroup) {
+	u, d := env.anyActiveUpstream(), env.randomDuration(100*time.Millisecond, 3*time.Second)
 	if u == nil {
 		return
 	}
-	w.note("crash %s for %v", u.ID(), d)
+	env.logFault("crash %s for %v", u.ID(), d)
 	u.mu.Lock()
 	u.down = true
 	u.mu.Unlock()
 	u.Crash()
-	later(g, d, func() {
+	scheduleFunc(g, d, func() {
 		u.mu.Lock()
 		if err := u.Restart(); err != nil {
-			w.t.Error(err)
+			env.t.Error(err)
 		}
 		u.down = false
 		u.mu.Unlock()
-		w.beat(u)
+		env.writeHeartbeat(u)
 	})
 }
 
-// replaceUpstream adds an upstream, and lets another one leave: it says so, or its
-// entry goes; it ends some time after the bound.
-func (w *world) replaceUpstream(g *sync.WaitGroup) {
-	u := w.anyUpstream()
+// replaceUpstream adds an upstream, and after one second lets another one of the same
+// service and zone leave. The one that leaves either writes an entry in state draining,
+// which is removed one second after drainTime has passed, or its entry is removed at once.
+func (env *testEnv) replaceUpstream(g *sync.WaitGroup) {
+	u := env.anyActiveUpstream()
 	if u == nil {
 		return
 	}
-	said := w.rng.IntN(2) == 0
-	added := w.addUpstream(u.service, u.zone)
-	w.note("%s replaces %s, which says so: %t", added.ID(), u.ID(), said)
-	later(g, time.Second, func() {
+	announced := env.rng.IntN(2) == 0
+	added := env.addUpstream(u.service, u.zone)
+	env.logFault("%s replaces %s; announced by draining: %t", added.ID(), u.ID(), announced)
+	scheduleFunc(g, time.Second, func() {
 		u.mu.Lock()
-		u.draining = said
+		u.draining = announced
 		key, value := u.Registration(u.addr, true)
-		if said {
-			w.store.PutFor(key, value, 3*heartbeat)
+		if announced {
+			env.store.PutFor(key, value, 3*heartbeatInterval)
 		} else {
-			w.store.Remove(key)
+			env.store.Remove(key)
 		}
-		u.left = time.Now()
+		u.leftAt = time.Now()
 		u.mu.Unlock()
 	})
-	later(g, time.Second+drain+time.Second, func() {
+	scheduleFunc(g, time.Second+drainTime+time.Second, func() {
 		u.mu.Lock()
 		u.draining = false
 		u.mu.Unlock()
-		w.store.Remove("servers/" + u.ID())
+		env.store.Remove("servers/" + u.ID())
 	})
 }
 
-// changeConfig withdraws a caller key, gives another one, or changes a limit.
-func (w *world) changeConfig(*sync.WaitGroup) {
-	w.mu.Lock()
-	a := w.config.accounts[[]string{"free", "acme", "tiny"}[w.rng.IntN(3)]]
-	old := a.key
-	if w.rng.IntN(2) == 0 {
+// changeConfig replaces the caller key of a random account, or changes its burst by 1.
+func (env *testEnv) changeConfig(*sync.WaitGroup) {
+	env.mu.Lock()
+	a := env.config.accounts[[]string{"free", "acme", "tiny"}[env.rng.IntN(3)]]
+	oldKey := a.key
+	if env.rng.IntN(2) == 0 {
 		a.key = strings.SplitN(a.key, "+", 2)[0] + "+" + time.Now().Format("150405.000")
 	} else {
 		a.burst += 1 - 2*(a.burst%2)
 	}
-	w.config = w.config.next(a)
-	next := w.config
-	w.mu.Unlock()
-	w.store.Put("op/config", next.text())
-	if a.key != old {
-		w.runs.withdrawn(old)
+	env.config = env.config.withAccount(a)
+	next := env.config
+	env.mu.Unlock()
+	env.store.Put("op/config", next.encode())
+	if a.key != oldKey {
+		env.executions.recordWithdrawal(oldKey)
 	}
-	w.note("configuration %d: account %s", next.version, a.name)
+	env.logFault("configuration %d: account %s", next.version, a.name)
 }
 
-func (w *world) evacuate(g *sync.WaitGroup) {
-	zone, d := zoneOf(w.rng.IntN(3)), w.between(2*time.Second, 4*time.Second)
-	w.note("evacuate %s for %v", zone, d)
-	w.store.Put("op/evacuate/"+zone, "{}")
-	later(g, d, func() { w.store.Remove("op/evacuate/" + zone) })
+// evacuateZone asks for the evacuation of a random zone for a random time.
+func (env *testEnv) evacuateZone(g *sync.WaitGroup) {
+	zone, d := zoneForIndex(env.rng.IntN(3)), env.randomDuration(2*time.Second, 4*time.Second)
+	env.logFault("evacuate %s for %v", zone, d)
+	env.store.Put("op/evacuate/"+zone, "{}")
+	scheduleFunc(g, d, func() { env.store.Remove("op/evacuate/" + zone) })
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,14 +1,15 @@
-// Package soak runs the real program as separate processes beside stand-ins of the
-// users' platform, injects faults from outside in series that overlap, and checks
-// what callers and upstreams saw. It has tests only.
+// Package soak tests the router under random faults. It runs the real program as separate
+// processes against test doubles of the outer platform, injects overlapping faults
+// from outside, and checks the guarantees against what callers and upstreams
+// observed. It contains tests only.
 //
-// A run with other seeds, by hand:
+// To run other seeds by hand:
 //
 //	make soak SEEDS=50 FIRST=1000
 //
-// Not covered: clocks that jump, which need privileges to set, and links between
-// instances; a paused process stands for a peer that is silent. Instances have no
-// disk.
+// Not covered are clock jumps, because setting the clock needs privileges, and faults of
+// links between instances: a paused process stands in for a peer that does not answer.
+// Disk faults do not apply, because instances store nothing on disk.
 package soak
 
 import (
@@ -24,22 +25,23 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 1, "runs of TestSoak")
-	first     = flag.Uint64("first", 1, "seed of the first run")
-	instances = flag.Int("instances", 6, "processes of the router")
-	length    = flag.Duration("length", 15*time.Second, "time in which faults begin")
-	keep      = flag.String("keep", "", "directory that keeps the logs of failed runs")
+	runCount      = flag.Int("seeds", 1, "number of runs of TestSoak, each with the next seed")
+	firstSeed     = flag.Uint64("first", 1, "seed of the first run")
+	instanceCount = flag.Int("instances", 6, "number of processes of the router")
+	faultDuration = flag.Duration("length", 15*time.Second, "time during which new faults start")
+	keepDir       = flag.String("keep", "", "directory that the logs of failed runs are copied to")
 )
 
-// program is the path of the program under test.
+// program is the path of the binary under test.
 var program string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	os.Exit(build(m))
+	os.Exit(buildAndRun(m))
 }
 
-func build(m *testing.M) int {
+// buildAndRun builds the binary under test, runs the tests and returns the exit code.
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -48,96 +50,102 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	program = filepath.Join(dir, "parsleyproxy")
 	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "../cmd/parsleyproxy").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building parsleyproxy failed: %v\n%s", err, out)
 		return 1
 	}
 	return m.Run()
 }
 
 const (
-	// startTime is the time for a fleet to start: elect, divide the keys, be ready.
-	startTime = 5 * time.Second
-	// recovery is the platform's bound for service to be back after all faults.
-	recovery = 15 * time.Second
-	// recovered is the share of requests within limits that is served from then on.
-	recovered = 0.9
-	// judged is how long that is measured.
-	judged = 3 * time.Second
+	// startupTime is the time that a fleet has to start: to elect a leader, assign the
+	// keys and become ready.
+	startupTime = 5 * time.Second
+	// recoveryTime is the platform's bound on the time to restore service after all
+	// faults have ended.
+	recoveryTime = 15 * time.Second
+	// recoveredShare is the share, from 0 to 1, of the requests within rate limits that
+	// must be served after recoveryTime.
+	recoveredShare = 0.9
+	// measureTime is the time over which that share is measured.
+	measureTime = 3 * time.Second
 )
 
+// TestSoak runs random faults with consecutive seeds.
 func TestSoak(t *testing.T) {
-	for i := range *seeds {
-		seed := *first + uint64(i)
+	for i := range *runCount {
+		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			soak(t, seed)
+			runSeed(t, seed)
 		})
 	}
 }
 
-// TestRegressions plays the seeds that have failed once.
+// TestRegressions runs the seeds that have failed before.
 func TestRegressions(t *testing.T) {
 	for seed, cause := range regressions {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			t.Log(cause)
-			soak(t, seed)
+			runSeed(t, seed)
 		})
 	}
 }
 
-// regressions tells what was wrong when a seed failed.
+// regressions maps each seed that has failed to the fault that it found.
 var regressions = map[uint64]string{
-	106: "instances without their account's home each started with a token: 52 of 51 requests",
-	108: "keys of a restarted holder were given away although renewals had reached its new process",
-	109: "the same as 108",
-	602: "homes admitted a part of the tolerated requests at each of two restarts of all: 52 of 50 requests",
+	106: "instances that could not reach the home of an account each admitted a request from an initial token: 52 requests where 51 are allowed",
+	108: "keys of a restarted holder were granted to another upstream although renewals had reached its new process",
+	109: "same fault as seed 108",
+	602: "after each of two restarts of all instances, homes admitted a part of the tolerated excess again: 52 requests where 50 are allowed",
 }
 
-func soak(t *testing.T, seed uint64) {
-	w := newWorld(t, seed, *instances)
+// runSeed injects the faults of a seed into a new fleet under load, and checks the
+// guarantees and that service recovers afterwards.
+func runSeed(t *testing.T, seed uint64) {
+	env := newTestEnv(t, seed, *instanceCount)
 	stop := make(chan struct{})
-	callers := &callers{w: w}
-	ended := make(chan struct{})
+	pool := &callerPool{env: env}
+	maintenanceDone := make(chan struct{})
 	go func() {
-		w.tend(stop)
-		close(ended)
+		env.maintain(stop)
+		close(maintenanceDone)
 	}()
-	time.Sleep(startTime)
-	sent := make(chan struct{})
+	time.Sleep(startupTime)
+	callersDone := make(chan struct{})
 	go func() {
-		callers.run(seed, stop)
-		close(sent)
+		pool.run(seed, stop)
+		close(callersDone)
 	}()
-	w.inject(*length)
-	w.note("all faults have ended")
-	time.Sleep(recovery)
-	from := time.Now()
-	time.Sleep(judged)
+	env.injectFaults(*faultDuration)
+	env.logFault("all faults have ended")
+	time.Sleep(recoveryTime)
+	measuredFrom := time.Now()
+	time.Sleep(measureTime)
 	close(stop)
-	<-ended
-	<-sent
-	broken := w.check(callers.done)
-	served, owed, kinds := 0, 0, make(map[string]int)
-	for _, a := range callers.done {
-		kinds[fmt.Sprint(a.kind, " ", a.status)]++
-		if a.sent.After(from) && a.status != http.StatusTooManyRequests {
-			owed++
-			if a.status == http.StatusOK {
+	<-maintenanceDone
+	<-callersDone
+	violations := env.checkRequests(pool.requests)
+	served, expected, outcomes := 0, 0, make(map[string]int)
+	for _, cr := range pool.requests {
+		outcomes[fmt.Sprint(cr.entry, " ", cr.status)]++
+		if cr.sentAt.After(measuredFrom) && cr.status != http.StatusTooManyRequests {
+			expected++
+			if cr.status == http.StatusOK {
 				served++
 			}
 		}
 	}
-	t.Logf("%d requests: %v", len(callers.done), kinds)
-	if float64(served) < recovered*float64(owed) || owed == 0 {
-		broken = append(broken, fmt.Sprintf("%d of %d requests were served after %v without faults, want %.2f", served, owed, recovery, recovered))
+	t.Logf("%d requests: %v", len(pool.requests), outcomes)
+	if float64(served) < recoveredShare*float64(expected) || expected == 0 {
+		violations = append(violations, fmt.Sprintf("%d of %d requests within rate limits were served after %v without faults, want a share of %.2f", served, expected, recoveryTime, recoveredShare))
 	}
-	if len(broken) == 0 {
+	if len(violations) == 0 {
 		return
 	}
-	t.Errorf("%d promises broken:\n%s\nfaults:\n%s", len(broken), strings.Join(broken[:min(len(broken), 20)], "\n"), strings.Join(w.faults, "\n"))
-	if *keep != "" {
-		if err := os.CopyFS(filepath.Join(*keep, fmt.Sprint("seed-", seed)), os.DirFS(w.dir)); err != nil {
+	t.Errorf("%d guarantees broken:\n%s\nfaults:\n%s", len(violations), strings.Join(violations[:min(len(violations), 20)], "\n"), strings.Join(env.faultLog, "\n"))
+	if *keepDir != "" {
+		if err := os.CopyFS(filepath.Join(*keepDir, fmt.Sprint("seed-", seed)), os.DirFS(env.dir)); err != nil {
 			t.Error(err)
 		}
 	}
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -16,171 +16,181 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/standin/relay"
 )
 
-// What the platform promises and asks, as in the settings of the instances.
+// Time bounds and periods that the platform promises or requires. Those that are also
+// settings of the instances have the same values there.
 const (
-	grace     = 6 * time.Second
-	drain     = 2 * time.Second
-	inForce   = 2 * time.Second
-	contact   = 3 * time.Second // without disturbance, from which on bounds on time hold
-	heartbeat = 400 * time.Millisecond
-	coldFor   = 500 * time.Millisecond
+	gracePeriod       = 6 * time.Second        // from SIGTERM to the end of a process
+	drainTime         = 2 * time.Second        // from an upstream's leave to its last request
+	inForceTime       = 2 * time.Second        // from a change of configuration to its effect
+	contactTime       = 3 * time.Second        // without disturbances, after which time bounds apply
+	heartbeatInterval = 400 * time.Millisecond // between two writes of an upstream's entry
+	coldTime          = 500 * time.Millisecond // cold start of an upstream
 )
 
-// world is the processes under test and the platform around them.
-type world struct {
-	t         *testing.T
-	rng       *rand.Rand
-	dir       string
-	store     *standin.Store
-	net       *relay.Server
-	instances []*instance
-	runs      *runs
-	began     time.Time
+// testEnv holds the processes under test and the test doubles of the platform.
+type testEnv struct {
+	t          *testing.T
+	rng        *rand.Rand
+	dir        string
+	store      *standin.Store
+	relays     *relay.Server
+	instances  []*instance
+	executions *executionLog
+	startedAt  time.Time
 
-	mu        sync.Mutex
-	upstreams []*upstream
-	made      int // upstreams so far
-	config    config
-	stored    []span   // disturbances of the store
-	faults    []string // what was done, for the report of a failure
+	mu                sync.Mutex
+	upstreams         []*upstream
+	upstreamCount     int // upstreams ever added; numbers their ids
+	config            config
+	storeDisturbances []disturbance
+	faultLog          []string // injected faults with their times, printed if the run fails
 }
 
-// span is the time of a disturbance.
-type span struct {
+// disturbance is the period in which a fault or a planned restart affects an instance or
+// the store.
+type disturbance struct {
 	begin, end time.Time
-	planned    bool // a process is ended and started again, as the platform does
+	planned    bool // restart of a process as the platform does it
 }
 
-// touches reports whether a disturbance lay between contact before from and to.
-func touches(spans []span, from, to time.Time, planned bool) bool {
-	for _, s := range spans {
-		if s.end.Add(contact).After(from) && s.begin.Before(to) && (planned || !s.planned) {
+// disturbedBetween reports whether any disturbance overlaps the period from contactTime
+// before from to to. Planned ones count if planned is set.
+func disturbedBetween(disturbances []disturbance, from, to time.Time, planned bool) bool {
+	for _, d := range disturbances {
+		if d.end.Add(contactTime).After(from) && d.begin.Before(to) && (planned || !d.planned) {
 			return true
 		}
 	}
 	return false
 }
 
-// instance is one process of the router.
+// instance is a process of the router and its successors after restarts.
 type instance struct {
 	name, ip, zone string
-	w              *world
+	env            *testEnv
 
-	mu        sync.Mutex
-	cmd       *exec.Cmd
-	ended     chan struct{}
-	disturbed []span // disturbances of the process or its links
-	held      bool   // by a fault
-	ready     bool   // as the balancer sees it
-	misses    int
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	disturbances []disturbance // of the process or its links
+	faultActive  bool          // an injected fault has not ended
+	ready        bool          // according to the probes of the load balancer
+	failedProbes int           // consecutive
 }
 
-// upstream is a worker with its entry in the store and the relay before it.
+// upstream is a test double of an upstream with its entry in the store, reached through a
+// relay.
 type upstream struct {
 	*standin.Upstream
 	service, zone string
-	route         string
-	addr          string // of the relay
+	route         string // name of the relay's route, also the upstream's id
+	addr          string // of the relay's route, "IP:port"
 
 	mu       sync.Mutex
 	down     bool
 	draining bool
-	left     time.Time // the store's acknowledgement that it leaves
+	leftAt   time.Time // when the store acknowledged the leave; zero: not leaving
 }
 
-func (w *world) note(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf("%6.2f s  ", time.Since(w.began).Seconds())+fmt.Sprintf(format, args...))
+// logFault appends an event to the fault log, with the time since the start of the run.
+func (env *testEnv) logFault(format string, args ...any) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.faultLog = append(env.faultLog, fmt.Sprintf("%6.2f s  ", time.Since(env.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func newWorld(t *testing.T, seed uint64, instances int) *world {
+// newTestEnv starts the store, the relay, 8 upstreams of 2 services and count instances.
+func newTestEnv(t *testing.T, seed uint64, count int) *testEnv {
 	t.Helper()
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), dir: t.TempDir(), began: time.Now(), runs: newRuns()}
+	env := &testEnv{t: t, rng: rand.New(rand.NewPCG(seed, 1)), dir: t.TempDir(), startedAt: time.Now(), executions: newExecutionLog()}
 	var err error
-	if w.store, err = standin.StartStore("127.0.0.1:0"); err != nil {
+	if env.store, err = standin.StartStore("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.store.Close)
-	if w.net, err = relay.Start("127.0.0.1:0"); err != nil {
+	t.Cleanup(env.store.Close)
+	if env.relays, err = relay.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.net.Close)
-	w.config = firstConfig()
-	w.store.Put("op/config", w.config.text())
+	t.Cleanup(env.relays.Close)
+	env.config = initialConfig()
+	env.store.Put("op/config", env.config.encode())
 	for i := range 8 {
-		w.addUpstream([]string{"desk", "vault"}[i%2], zoneOf(i/2))
+		env.addUpstream([]string{"desk", "vault"}[i%2], zoneForIndex(i/2))
 	}
-	// Addresses of a loopback network of this run: every instance has the same ports.
+	// Each run has a loopback network of its own, and each instance an address in it,
+	// because all instances use the same ports.
 	network := fmt.Sprintf("127.%d.%d", 16+os.Getpid()%200, seed%250)
-	for i := range instances {
-		w.instances = append(w.instances, &instance{name: fmt.Sprint("front-", i+1), ip: fmt.Sprint(network, ".", i+1), zone: zoneOf(i), w: w})
+	for i := range count {
+		env.instances = append(env.instances, &instance{name: fmt.Sprint("front-", i+1), ip: fmt.Sprint(network, ".", i+1), zone: zoneForIndex(i), env: env})
 	}
-	for _, in := range w.instances {
+	for _, in := range env.instances {
 		in.writeSettings(true)
 		in.start()
 	}
 	t.Cleanup(func() {
-		for _, in := range w.instances {
+		for _, in := range env.instances {
 			in.kill()
 		}
 	})
-	return w
+	return env
 }
 
-func zoneOf(i int) string { return fmt.Sprint("z", i%3+1) }
+// zoneForIndex spreads indexes over three zones.
+func zoneForIndex(i int) string { return fmt.Sprint("z", i%3+1) }
 
-// addUpstream starts an upstream behind a relay and keeps its entry in the store.
-func (w *world) addUpstream(service, zone string) *upstream {
-	w.mu.Lock()
-	w.made++
-	u := &upstream{service: service, zone: zone, route: fmt.Sprint("u", w.made)}
-	w.mu.Unlock()
+// addUpstream starts an upstream behind a relay and registers it in the store.
+func (env *testEnv) addUpstream(service, zone string) *upstream {
+	env.mu.Lock()
+	env.upstreamCount++
+	u := &upstream{service: service, zone: zone, route: fmt.Sprint("u", env.upstreamCount)}
+	env.mu.Unlock()
 	work := 20 * time.Millisecond
 	var err error
 	u.Upstream, err = standin.StartUpstream(standin.UpstreamConfig{
 		ID: u.route, Service: service, Zone: zone, Sharded: service == "vault", Work: work,
-		Began: func(_ *standin.Upstream, r *http.Request) { w.runs.began(w, u, r) },
+		Began: func(_ *standin.Upstream, r *http.Request) { env.executions.recordStart(env, u, r) },
 	})
 	if err == nil {
-		u.addr, err = w.net.AddRoute(u.route, "127.0.0.1:0", u.Addr())
+		u.addr, err = env.relays.AddRoute(u.route, "127.0.0.1:0", u.Addr())
 	}
 	if err != nil {
-		w.t.Error(err)
+		env.t.Error(err)
 		return u
 	}
-	w.mu.Lock()
-	w.upstreams = append(w.upstreams, u)
-	w.mu.Unlock()
-	w.beat(u)
+	env.mu.Lock()
+	env.upstreams = append(env.upstreams, u)
+	env.mu.Unlock()
+	env.writeHeartbeat(u)
 	return u
 }
 
-// beat writes the entry of an upstream that is up.
-func (w *world) beat(u *upstream) {
+// writeHeartbeat renews the store entry of an upstream, unless the upstream is down or
+// has left.
+func (env *testEnv) writeHeartbeat(u *upstream) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.down && (u.left.IsZero() || u.draining) {
+	if !u.down && (u.leftAt.IsZero() || u.draining) {
 		key, value := u.Registration(u.addr, u.draining)
-		w.store.PutFor(key, value, 3*heartbeat)
+		env.store.PutFor(key, value, 3*heartbeatInterval)
 	}
 }
 
-// live returns the upstreams that are part of the fleet now.
-func (w *world) live() []*upstream {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]*upstream(nil), w.upstreams...)
+// currentUpstreams returns a copy of the list of all upstreams.
+func (env *testEnv) currentUpstreams() []*upstream {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return append([]*upstream(nil), env.upstreams...)
 }
 
-// tend writes the entries of upstreams and asks instances whether they are ready.
-func (w *world) tend(stop <-chan struct{}) {
+// maintain renews the entries of upstreams and probes the readiness of instances at
+// regular intervals until stop is closed.
+func (env *testEnv) maintain(stop <-chan struct{}) {
 	var g sync.WaitGroup
-	loop := func(every time.Duration, f func()) {
+	runEvery := func(interval time.Duration, f func()) {
 		g.Add(1)
 		go func() {
 			defer g.Done()
-			tick := time.NewTicker(every)
+			tick := time.NewTicker(interval)
 			defer tick.Stop()
 			for {
 				select {
@@ -192,22 +202,24 @@
 			}
 		}()
 	}
-	loop(heartbeat, func() {
-		for _, u := range w.live() {
-			w.beat(u)
+	runEvery(heartbeatInterval, func() {
+		for _, u := range env.currentUpstreams() {
+			env.writeHeartbeat(u)
 		}
 	})
-	for _, in := range w.instances {
-		loop(500*time.Millisecond, in.probe)
+	for _, in := range env.instances {
+		runEvery(500*time.Millisecond, in.probe)
 	}
 	g.Wait()
 }
 
-var prober = &http.Client{Timeout: 400 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+// probeClient opens a new connection for each readiness probe.
+var probeClient = &http.Client{Timeout: 400 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// probe asks as the balancer does; two misses take the instance out.
+// probe checks the readiness of the instance as a load balancer does: two consecutive
+// failures take it out of rotation, and one success puts it back.
 func (in *instance) probe() {
-	res, err := prober.Get("http://" + in.ip + ":8384/api/readyz")
+	res, err := probeClient.Get("http://" + in.ip + ":8384/api/readyz")
 	ok := err == nil && res.StatusCode == http.StatusOK
 	if err == nil {
 		_ = res.Body.Close()
@@ -215,62 +227,67 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if ok {
-		in.ready, in.misses = true, 0
-	} else if in.misses++; in.misses >= 2 {
+		in.ready, in.failedProbes = true, 0
+	} else if in.failedProbes++; in.failedProbes >= 2 {
 		in.ready = false
 	}
 }
 
-// disturb notes a disturbance that lasts for d.
-func (in *instance) disturb(d time.Duration, planned bool) {
+// recordDisturbance records a disturbance that starts now and lasts for d.
+func (in *instance) recordDisturbance(d time.Duration, planned bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.disturbed = append(in.disturbed, span{time.Now(), time.Now().Add(d), planned})
+	in.disturbances = append(in.disturbances, disturbance{time.Now(), time.Now().Add(d), planned})
 }
 
-// take reports whether no other fault holds the instance, and lets this one hold it.
-func (in *instance) take(d time.Duration, planned bool) bool {
+// beginFault reserves the instance for a fault that lasts for d and records the
+// disturbance. It reports false if another fault is active.
+func (in *instance) beginFault(d time.Duration, planned bool) bool {
 	in.mu.Lock()
-	free := !in.held
-	in.held = true
+	free := !in.faultActive
+	in.faultActive = true
 	in.mu.Unlock()
 	if free {
-		in.disturb(d, planned)
+		in.recordDisturbance(d, planned)
 	}
 	return free
 }
 
-func (in *instance) release() {
+// endFault lets other faults affect the instance again.
+func (in *instance) endFault() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.held = false
+	in.faultActive = false
 }
 
+// storeRoute returns the name of the relay's route from the instance to the store.
 func (in *instance) storeRoute() string { return "store-" + in.name }
 
-func (in *instance) settingsPath() string { return filepath.Join(in.w.dir, in.name+".json") }
+func (in *instance) settingsPath() string { return filepath.Join(in.env.dir, in.name+".json") }
 
-func (in *instance) writeSettings(first bool) {
-	w := in.w
-	if first {
-		if _, err := w.net.AddRoute(in.storeRoute(), in.ip+":8400", w.store.Addr()); err != nil {
-			w.t.Fatal(err)
+// writeSettings writes the settings file. On the first start it also adds the relay's
+// route to the store, and the settings let the instance bootstrap the fleet.
+func (in *instance) writeSettings(firstStart bool) {
+	env := in.env
+	if firstStart {
+		if _, err := env.relays.AddRoute(in.storeRoute(), in.ip+":8400", env.store.Addr()); err != nil {
+			env.t.Fatal(err)
 		}
 	}
 	text := fmt.Sprintf(`{"nodeName":%q,"zone":%q,"bootstrap":%t,"listen":{"front":"%s:8388","ready":"%s:8384","control":"%s:8381"},
  "limits":{"memoryMb":284,"cpuShare":1,"cpuCores":1},"platform":{"address":"%s:8400","ttlMin":"1000ms"},
  "bounds":{"grace":"%dms","budgetRatio":0.2,"budgetExtra":60,"budgetWindow":"10s","quotaWindow":"5s","quotaOverage":%v,"quotaSlack":%d,"holdMax":"10000ms"}}`,
-		in.name, in.zone, first, in.ip, in.ip, in.ip, in.ip, grace.Milliseconds(), quotaOverage, quotaSlack)
+		in.name, in.zone, firstStart, in.ip, in.ip, in.ip, in.ip, gracePeriod.Milliseconds(), quotaOverage, quotaSlack)
 	if err := os.WriteFile(in.settingsPath(), []byte(text), 0o600); err != nil {
-		w.t.Error(err)
+		env.t.Error(err)
 	}
 }
 
-// start starts the process; it is started again as often as it ends.
+// start starts a process, which appends to the log file of earlier ones.
 func (in *instance) start() {
-	out, err := os.OpenFile(filepath.Join(in.w.dir, in.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(filepath.Join(in.env.dir, in.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		in.w.t.Error(err)
+		in.env.t.Error(err)
 		return
 	}
 	cmd := exec.Command(program, "front")
@@ -279,42 +296,43 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if err := cmd.Start(); err != nil {
-		in.w.t.Error(err)
+		in.env.t.Error(err)
 		_ = out.Close()
 		return
 	}
-	ended := make(chan struct{})
-	in.cmd, in.ended = cmd, ended
+	exited := make(chan struct{})
+	in.cmd, in.exited = cmd, exited
 	go func() {
-		_ = cmd.Wait() // killed processes end with an error
+		_ = cmd.Wait() // returns an error for killed processes
 		_ = out.Close()
-		close(ended)
+		close(exited)
 	}()
 }
 
-// signal sends a signal to the process that this run has started.
+// signal sends a signal to the current process unless it has exited.
 func (in *instance) signal(sig syscall.Signal) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	select {
-	case <-in.ended: // its number may belong to another process
+	case <-in.exited: // the system may have reused its process id
 	default:
 		_ = in.cmd.Process.Signal(sig)
 	}
 }
 
+// kill kills the current process, if there is one, and waits for its end.
 func (in *instance) kill() {
 	if in.cmd == nil {
 		return
 	}
 	in.signal(syscall.SIGKILL)
-	<-in.ended
+	<-in.exited
 }
 
-// restart starts the process again after it has ended.
+// restart starts a new process after the last one has exited, and ends the fault.
 func (in *instance) restart() {
 	in.writeSettings(false)
-	in.disturb(0, true)
+	in.recordDisturbance(0, true)
 	in.start()
-	in.release()
+	in.endFault()
 }
