--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -12,11 +12,13 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// message is encoded to and decoded from a JSON object with kebab-case names.
-// Unknown fields are skipped, so that a newer instance can talk to an older one
-// during a rolling replacement.
+// message is a value that is encoded as a JSON object with kebab-case field names.
+// Decoders skip unknown fields, so that instances of different versions can
+// communicate during a rolling replacement.
 type message interface {
+	// encode writes the fields of the object.
 	encode(e *jx.Encoder)
+	// decode reads the value of the named field.
 	decode(d *jx.Decoder, field string) error
 }
 
@@ -27,78 +29,83 @@
 	return e.Bytes()
 }
 
-// unmarshal fills m; the error names the field.
+// unmarshal decodes the JSON object data into m. The error names the field.
 func unmarshal(data []byte, m message) error {
 	return decodeObject(jx.DecodeBytes(data), m.decode)
 }
 
-func decodeObject(d *jx.Decoder, field func(d *jx.Decoder, name string) error) error {
+// decodeObject calls decodeField for each field of an object and adds the field's
+// name to its error.
+func decodeObject(d *jx.Decoder, decodeField func(d *jx.Decoder, name string) error) error {
 	return d.Obj(func(d *jx.Decoder, name string) error {
-		if err := field(d, name); err != nil {
+		if err := decodeField(d, name); err != nil {
 			return errors.Wrapf(err, "field %q", name)
 		}
 		return nil
 	})
 }
 
-func str[T ~string](e *jx.Encoder, name string, v T) {
+func encodeString[T ~string](e *jx.Encoder, name string, v T) {
 	e.Field(name, func(e *jx.Encoder) { e.Str(string(v)) })
 }
 
-func unsigned[T ~uint64](e *jx.Encoder, name string, v T) {
+func encodeUnsigned[T ~uint64](e *jx.Encoder, name string, v T) {
 	e.Field(name, func(e *jx.Encoder) { e.UInt64(uint64(v)) })
 }
 
-func signed[T ~int64 | ~int](e *jx.Encoder, name string, v T) {
+func encodeSigned[T ~int64 | ~int](e *jx.Encoder, name string, v T) {
 	e.Field(name, func(e *jx.Encoder) { e.Int64(int64(v)) })
 }
 
-func millis(e *jx.Encoder, name string, v time.Duration) {
-	signed(e, name, v.Milliseconds())
+// encodeMillis writes v in milliseconds, rounded towards zero.
+func encodeMillis(e *jx.Encoder, name string, v time.Duration) {
+	encodeSigned(e, name, v.Milliseconds())
 }
 
-func boolean(e *jx.Encoder, name string, v bool) {
+func encodeBool(e *jx.Encoder, name string, v bool) {
 	e.Field(name, func(e *jx.Encoder) { e.Bool(v) })
 }
 
-func getStr[T ~string](d *jx.Decoder, v *T) error {
+func decodeString[T ~string](d *jx.Decoder, v *T) error {
 	s, err := d.Str()
 	*v = T(s)
 	return err
 }
 
-func getUnsigned[T ~uint64](d *jx.Decoder, v *T) error {
+func decodeUnsigned[T ~uint64](d *jx.Decoder, v *T) error {
 	n, err := d.UInt64()
 	*v = T(n)
 	return err
 }
 
-func getSigned[T ~int64 | ~int](d *jx.Decoder, v *T) error {
+func decodeSigned[T ~int64 | ~int](d *jx.Decoder, v *T) error {
 	n, err := d.Int64()
 	*v = T(n)
 	return err
 }
 
-func getMillis(d *jx.Decoder, v *time.Duration) error {
+func decodeMillis(d *jx.Decoder, v *time.Duration) error {
 	n, err := d.Int64()
 	*v = time.Duration(n) * time.Millisecond
 	return err
 }
 
-func getBool(d *jx.Decoder, v *bool) (err error) {
+func decodeBool(d *jx.Decoder, v *bool) (err error) {
 	*v, err = d.Bool()
 	return err
 }
 
-func getBytes(d *jx.Decoder, v *[]byte) (err error) {
+func decodeBytes(d *jx.Decoder, v *[]byte) (err error) {
 	*v, err = d.Base64()
 	return err
 }
 
-func getList[T any](d *jx.Decoder, list *[]T, get func(d *jx.Decoder, v *T) error) error {
+// decodeList appends the decoded elements of an array to list. The error names
+// the index of the element.
+func decodeList[T any](d *jx.Decoder, list *[]T, decodeElement func(d *jx.Decoder, v *T) error) error {
 	return d.Arr(func(d *jx.Decoder) error {
 		var v T
-		if err := get(d, &v); err != nil {
+		if err := decodeElement(d, &v); err != nil {
 			return errors.Wrapf(err, "element %d", len(*list))
 		}
 		*list = append(*list, v)
@@ -109,8 +116,8 @@
 func encodeKnown(e *jx.Encoder, k authority.Known) {
 	e.FieldStart("known")
 	e.Obj(func(e *jx.Encoder) {
-		unsigned(e, "catalogue", k.Catalogue)
-		unsigned(e, "assignment", k.Assignment)
+		encodeUnsigned(e, "catalogue", k.Catalogue)
+		encodeUnsigned(e, "assignment", k.Assignment)
 	})
 }
 
@@ -118,9 +125,9 @@
 	return decodeObject(d, func(d *jx.Decoder, name string) error {
 		switch name {
 		case "catalogue":
-			return getUnsigned(d, &k.Catalogue)
+			return decodeUnsigned(d, &k.Catalogue)
 		case "assignment":
-			return getUnsigned(d, &k.Assignment)
+			return decodeUnsigned(d, &k.Assignment)
 		default:
 			return d.Skip()
 		}
@@ -130,16 +137,16 @@
 func (m *PollRequest) encode(e *jx.Encoder) {
 	e.FieldStart("from")
 	e.Obj(func(e *jx.Encoder) {
-		str(e, "id", m.From.ID)
-		str(e, "boot", m.From.Boot)
-		str(e, "address", m.From.Address)
-		str(e, "http", m.From.HTTP)
-		str(e, "zone", m.From.Zone)
+		encodeString(e, "id", m.From.ID)
+		encodeString(e, "boot", m.From.Boot)
+		encodeString(e, "address", m.From.Address)
+		encodeString(e, "http", m.From.HTTP)
+		encodeString(e, "zone", m.From.Zone)
 	})
-	str(e, "phase", m.Phase)
+	encodeString(e, "phase", m.Phase)
 	encodeKnown(e, m.Known)
-	boolean(e, "details", m.Details)
-	boolean(e, "poll-back", m.PollBack)
+	encodeBool(e, "details", m.Details)
+	encodeBool(e, "poll-back", m.PollBack)
 }
 
 func (m *PollRequest) decode(d *jx.Decoder, field string) error {
@@ -147,11 +154,11 @@
 	case "from":
 		return decodeObject(d, func(d *jx.Decoder, name string) error { return decodeMember(d, name, &m.From) })
 	case "details":
-		return getBool(d, &m.Details)
+		return decodeBool(d, &m.Details)
 	case "poll-back":
-		return getBool(d, &m.PollBack)
+		return decodeBool(d, &m.PollBack)
 	case "phase":
-		return getStr(d, &m.Phase)
+		return decodeString(d, &m.Phase)
 	case "known":
 		return decodeKnown(d, &m.Known)
 	default:
@@ -162,34 +169,34 @@
 func decodeMember(d *jx.Decoder, field string, m *assignment.Member) error {
 	switch field {
 	case "id":
-		return getStr(d, &m.ID)
+		return decodeString(d, &m.ID)
 	case "boot":
-		return getStr(d, &m.Boot)
+		return decodeString(d, &m.Boot)
 	case "address":
-		return getStr(d, &m.Address)
+		return decodeString(d, &m.Address)
 	case "http":
-		return getStr(d, &m.HTTP)
+		return decodeString(d, &m.HTTP)
 	case "zone":
-		return getStr(d, &m.Zone)
+		return decodeString(d, &m.Zone)
 	default:
 		return d.Skip()
 	}
 }
 
 func (m *PollAnswer) encode(e *jx.Encoder) {
-	str(e, "from", m.From)
-	str(e, "boot", m.Boot)
-	str(e, "phase", m.Phase)
+	encodeString(e, "from", m.From)
+	encodeString(e, "boot", m.Boot)
+	encodeString(e, "phase", m.Phase)
 	encodeKnown(e, m.Known)
-	millis(e, "store-age-ms", m.StoreAge)
+	encodeMillis(e, "store-age-ms", m.StoreAge)
 	if !m.Details {
 		return
 	}
-	boolean(e, "details", true)
+	encodeBool(e, "details", true)
 	e.FieldStart("heard-ms")
 	e.Obj(func(e *jx.Encoder) {
 		for id, age := range m.Heard {
-			millis(e, string(id), age)
+			encodeMillis(e, string(id), age)
 		}
 	})
 	e.FieldStart("reports")
@@ -204,22 +211,22 @@
 func (m *PollAnswer) decode(d *jx.Decoder, field string) error {
 	switch field {
 	case "from":
-		return getStr(d, &m.From)
+		return decodeString(d, &m.From)
 	case "boot":
-		return getStr(d, &m.Boot)
+		return decodeString(d, &m.Boot)
 	case "phase":
-		return getStr(d, &m.Phase)
+		return decodeString(d, &m.Phase)
 	case "known":
 		return decodeKnown(d, &m.Known)
 	case "details":
-		return getBool(d, &m.Details)
+		return decodeBool(d, &m.Details)
 	case "store-age-ms":
-		return getMillis(d, &m.StoreAge)
+		return decodeMillis(d, &m.StoreAge)
 	case "heard-ms":
 		m.Heard = make(map[fleet.InstanceID]time.Duration)
 		return decodeObject(d, func(d *jx.Decoder, id string) error {
 			var age time.Duration
-			err := getMillis(d, &age)
+			err := decodeMillis(d, &age)
 			m.Heard[fleet.InstanceID(id)] = age
 			return err
 		})
@@ -237,12 +244,12 @@
 }
 
 func encodeReport(e *jx.Encoder, r assignment.Report) {
-	boolean(e, "lost", r.Lost)
-	str(e, "boot", r.Boot)
-	signed(e, "limit", r.Limit)
-	signed(e, "slots", r.Slots)
-	signed(e, "in-flight", r.InFlight)
-	signed(e, "queued", r.Queued)
+	encodeBool(e, "lost", r.Lost)
+	encodeString(e, "boot", r.Boot)
+	encodeSigned(e, "limit", r.Limit)
+	encodeSigned(e, "slots", r.Slots)
+	encodeSigned(e, "in-flight", r.InFlight)
+	encodeSigned(e, "queued", r.Queued)
 	e.Field("load", func(e *jx.Encoder) { e.Float64(r.Load) })
 	e.Field("average", func(e *jx.Encoder) { e.Float64(r.Average) })
 	e.FieldStart("units")
@@ -259,7 +266,7 @@
 	e.Arr(func(e *jx.Encoder) {
 		for _, h := range r.Hot {
 			e.Obj(func(e *jx.Encoder) {
-				str(e, "key", h.Key)
+				encodeString(e, "key", h.Key)
 				e.Field("rate", func(e *jx.Encoder) { e.Float64(h.Rate) })
 			})
 		}
@@ -269,17 +276,17 @@
 func decodeReport(d *jx.Decoder, field string, r *assignment.Report) (err error) {
 	switch field {
 	case "lost":
-		return getBool(d, &r.Lost)
+		return decodeBool(d, &r.Lost)
 	case "boot":
-		return getStr(d, &r.Boot)
+		return decodeString(d, &r.Boot)
 	case "limit":
-		return getSigned(d, &r.Limit)
+		return decodeSigned(d, &r.Limit)
 	case "slots":
-		return getSigned(d, &r.Slots)
+		return decodeSigned(d, &r.Slots)
 	case "in-flight":
-		return getSigned(d, &r.InFlight)
+		return decodeSigned(d, &r.InFlight)
 	case "queued":
-		return getSigned(d, &r.Queued)
+		return decodeSigned(d, &r.Queued)
 	case "load":
 		r.Load, err = d.Float64()
 		return err
@@ -287,11 +294,11 @@
 		r.Average, err = d.Float64()
 		return err
 	case "units":
-		return getList(d, &r.Units, decodeUnitLoad)
+		return decodeList(d, &r.Units, decodeUnitLoad)
 	case "granted":
-		return getList(d, &r.Granted, decodeGrant)
+		return decodeList(d, &r.Granted, decodeGrant)
 	case "hot":
-		return getList(d, &r.Hot, decodeHotKey)
+		return decodeList(d, &r.Hot, decodeHotKey)
 	default:
 		return d.Skip()
 	}
@@ -301,7 +308,7 @@
 	return decodeObject(d, func(d *jx.Decoder, name string) (err error) {
 		switch name {
 		case "key":
-			return getStr(d, &h.Key)
+			return decodeString(d, &h.Key)
 		case "rate":
 			h.Rate, err = d.Float64()
 			return err
@@ -317,16 +324,16 @@
 		for _, g := range grants {
 			e.Obj(func(e *jx.Encoder) {
 				encodeUnit(e, g.Unit)
-				unsigned(e, "fence", g.Fence)
+				encodeUnsigned(e, "fence", g.Fence)
 			})
 		}
 	})
 }
 
 func encodeUnit(e *jx.Encoder, u fleet.Unit) {
-	str(e, "service", u.Service)
+	encodeString(e, "service", u.Service)
 	if u.Pin != "" {
-		str(e, "pin", u.Pin)
+		encodeString(e, "pin", u.Pin)
 	} else {
 		e.Field("shard", func(e *jx.Encoder) { e.UInt32(uint32(u.Shard)) })
 	}
@@ -335,9 +342,9 @@
 func decodeUnit(d *jx.Decoder, field string, u *fleet.Unit) error {
 	switch field {
 	case "service":
-		return getStr(d, &u.Service)
+		return decodeString(d, &u.Service)
 	case "pin":
-		return getStr(d, &u.Pin)
+		return decodeString(d, &u.Pin)
 	case "shard":
 		n, err := d.UInt32()
 		u.Shard = fleet.ShardID(n)
@@ -350,7 +357,7 @@
 func decodeGrant(d *jx.Decoder, g *fleet.Grant) error {
 	return decodeObject(d, func(d *jx.Decoder, name string) error {
 		if name == "fence" {
-			return getUnsigned(d, &g.Fence)
+			return decodeUnsigned(d, &g.Fence)
 		}
 		return decodeUnit(d, name, &g.Unit)
 	})
@@ -376,38 +383,38 @@
 }
 
 func (m *RecordsAnswer) encode(e *jx.Encoder) {
-	unsigned(e, "catalogue-revision", m.CatalogueRevision)
+	encodeUnsigned(e, "catalogue-revision", m.CatalogueRevision)
 	e.Field("catalogue", func(e *jx.Encoder) { e.Base64(m.Catalogue) })
-	unsigned(e, "assignment-revision", m.AssignmentRevision)
+	encodeUnsigned(e, "assignment-revision", m.AssignmentRevision)
 	e.Field("assignment", func(e *jx.Encoder) { e.Base64(m.Assignment) })
 }
 
 func (m *RecordsAnswer) decode(d *jx.Decoder, field string) error {
 	switch field {
 	case "catalogue-revision":
-		return getUnsigned(d, &m.CatalogueRevision)
+		return decodeUnsigned(d, &m.CatalogueRevision)
 	case "catalogue":
-		return getBytes(d, &m.Catalogue)
+		return decodeBytes(d, &m.Catalogue)
 	case "assignment-revision":
-		return getUnsigned(d, &m.AssignmentRevision)
+		return decodeUnsigned(d, &m.AssignmentRevision)
 	case "assignment":
-		return getBytes(d, &m.Assignment)
+		return decodeBytes(d, &m.Assignment)
 	default:
 		return d.Skip()
 	}
 }
 
 func (m *TokensRequest) encode(e *jx.Encoder) {
-	str(e, "holder", m.Holder)
-	str(e, "id", m.Call.ID)
-	signed(e, "waiting", m.Call.Waiting)
-	signed(e, "spare", m.Call.Spare)
+	encodeString(e, "holder", m.Holder)
+	encodeString(e, "id", m.Call.ID)
+	encodeSigned(e, "waiting", m.Call.Waiting)
+	encodeSigned(e, "spare", m.Call.Spare)
 	e.FieldStart("closed")
 	e.Arr(func(e *jx.Encoder) {
 		for _, c := range m.Call.Closed {
 			e.Obj(func(e *jx.Encoder) {
-				unsigned(e, "lease", c.Lease)
-				signed(e, "unused", c.Unused)
+				encodeUnsigned(e, "lease", c.Lease)
+				encodeSigned(e, "unused", c.Unused)
 			})
 		}
 	})
@@ -416,15 +423,15 @@
 func (m *TokensRequest) decode(d *jx.Decoder, field string) error {
 	switch field {
 	case "holder":
-		return getStr(d, &m.Holder)
+		return decodeString(d, &m.Holder)
 	case "id":
-		return getStr(d, &m.Call.ID)
+		return decodeString(d, &m.Call.ID)
 	case "waiting":
-		return getSigned(d, &m.Call.Waiting)
+		return decodeSigned(d, &m.Call.Waiting)
 	case "spare":
-		return getSigned(d, &m.Call.Spare)
+		return decodeSigned(d, &m.Call.Spare)
 	case "closed":
-		return getList(d, &m.Call.Closed, decodeClosed)
+		return decodeList(d, &m.Call.Closed, decodeClosed)
 	default:
 		return d.Skip()
 	}
@@ -434,9 +441,9 @@
 	return decodeObject(d, func(d *jx.Decoder, name string) error {
 		switch name {
 		case "lease":
-			return getUnsigned(d, &c.Lease)
+			return decodeUnsigned(d, &c.Lease)
 		case "unused":
-			return getSigned(d, &c.Unused)
+			return decodeSigned(d, &c.Unused)
 		default:
 			return d.Skip()
 		}
@@ -444,41 +451,41 @@
 }
 
 func (m *TokensAnswer) encode(e *jx.Encoder) {
-	unsigned(e, "lease", m.Lease.ID)
-	signed(e, "granted", m.Lease.Granted)
-	millis(e, "ttl-ms", m.Lease.TTL)
-	millis(e, "retry-after-ms", m.Lease.RetryAfter)
+	encodeUnsigned(e, "lease", m.Lease.ID)
+	encodeSigned(e, "granted", m.Lease.Granted)
+	encodeMillis(e, "ttl-ms", m.Lease.TTL)
+	encodeMillis(e, "retry-after-ms", m.Lease.RetryAfter)
 }
 
 func (m *TokensAnswer) decode(d *jx.Decoder, field string) error {
 	switch field {
 	case "lease":
-		return getUnsigned(d, &m.Lease.ID)
+		return decodeUnsigned(d, &m.Lease.ID)
 	case "granted":
-		return getSigned(d, &m.Lease.Granted)
+		return decodeSigned(d, &m.Lease.Granted)
 	case "ttl-ms":
-		return getMillis(d, &m.Lease.TTL)
+		return decodeMillis(d, &m.Lease.TTL)
 	case "retry-after-ms":
-		return getMillis(d, &m.Lease.RetryAfter)
+		return decodeMillis(d, &m.Lease.RetryAfter)
 	default:
 		return d.Skip()
 	}
 }
 
 func (m *ReleasedRequest) encode(e *jx.Encoder) {
-	str(e, "upstream", m.Upstream)
-	unsigned(e, "assignment", m.Assignment)
+	encodeString(e, "upstream", m.Upstream)
+	encodeUnsigned(e, "assignment", m.Assignment)
 	encodeGrants(e, "grants", m.Grants)
 }
 
 func (m *ReleasedRequest) decode(d *jx.Decoder, field string) error {
 	switch field {
 	case "upstream":
-		return getStr(d, &m.Upstream)
+		return decodeString(d, &m.Upstream)
 	case "assignment":
-		return getUnsigned(d, &m.Assignment)
+		return decodeUnsigned(d, &m.Assignment)
 	case "grants":
-		return getList(d, &m.Grants, decodeGrant)
+		return decodeList(d, &m.Grants, decodeGrant)
 	default:
 		return d.Skip()
 	}
@@ -497,11 +504,11 @@
 	if field != "released" {
 		return d.Skip()
 	}
-	return getList(d, &m.Released, getBool)
+	return decodeList(d, &m.Released, decodeBool)
 }
 
 func (m *HomeReleaseRequest) encode(e *jx.Encoder) {
-	unsigned(e, "assignment", m.Assignment)
+	encodeUnsigned(e, "assignment", m.Assignment)
 	e.FieldStart("ids")
 	e.Arr(func(e *jx.Encoder) {
 		for _, id := range m.IDs {
@@ -513,16 +520,16 @@
 func (m *HomeReleaseRequest) decode(d *jx.Decoder, field string) error {
 	switch field {
 	case "assignment":
-		return getUnsigned(d, &m.Assignment)
+		return decodeUnsigned(d, &m.Assignment)
 	case "ids":
-		return getList(d, &m.IDs, getStr)
+		return decodeList(d, &m.IDs, decodeString)
 	default:
 		return d.Skip()
 	}
 }
 
 func (m *HomeReleaseAnswer) encode(e *jx.Encoder) {
-	boolean(e, "done", m.Done)
+	encodeBool(e, "done", m.Done)
 	e.FieldStart("levels")
 	e.Arr(func(e *jx.Encoder) {
 		for _, n := range m.Levels {
@@ -534,9 +541,9 @@
 func (m *HomeReleaseAnswer) decode(d *jx.Decoder, field string) error {
 	switch field {
 	case "done":
-		return getBool(d, &m.Done)
+		return decodeBool(d, &m.Done)
 	case "levels":
-		return getList(d, &m.Levels, getSigned)
+		return decodeList(d, &m.Levels, decodeSigned)
 	default:
 		return d.Skip()
 	}
@@ -550,7 +557,7 @@
 	if field != "query" {
 		return d.Skip()
 	}
-	return getBytes(d, &m.Query)
+	return decodeBytes(d, &m.Query)
 }
 
 func (m *ExplainAnswer) encode(e *jx.Encoder) {
@@ -561,7 +568,7 @@
 	if field != "explanation" {
 		return d.Skip()
 	}
-	return getBytes(d, &m.Explanation)
+	return decodeBytes(d, &m.Explanation)
 }
 
 var _ = []message{
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -9,52 +9,57 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Phase says what an instance wants of the planner.
+// Phase is the lifecycle state that an instance reports to the planner.
 type Phase string
 
 const (
-	// Serving instances take part in everything.
+	// Serving instances are members and may be assigned upstreams and limits.
 	Serving Phase = "serving"
-	// Draining instances ask for their duties to be moved and for their removal
-	// from the member list.
+	// Draining instances ask the planner to reassign their upstreams and limits and
+	// to remove them from the member list.
 	Draining Phase = "draining"
 )
 
-// PollRequest asks what a peer knows; it is also the heartbeat.
+// PollRequest asks an instance for its state. It also serves as the heartbeat of
+// the sender.
 type PollRequest struct {
-	From  assignment.Member
-	Phase Phase
-	Known authority.Known
-	// Details asks for Heard and Reports, which only the planner needs all the
-	// time; without them a poll costs less than half.
+	From  assignment.Member // the sender
+	Phase Phase             // phase of the sender
+	Known authority.Known   // newest record revisions that the sender has
+	// Details asks for Heard and Reports in the answer. Only the planner needs them
+	// in every poll; a poll without them costs less than half.
 	Details bool
-	// PollBack asks the planner to poll the sender at once, because its reports
-	// have changed.
+	// PollBack asks the planner to poll the sender immediately, because the
+	// sender's upstream reports have changed.
 	PollBack bool
 }
 
-// PollAnswer tells what an instance knows.
+// PollAnswer is the state of the answering instance.
 type PollAnswer struct {
 	From    fleet.InstanceID
 	Boot    fleet.BootID
 	Phase   Phase
-	Known   authority.Known
-	Details bool
-	// StoreAge is the time since the store last answered this instance, or
-	// negative if it never did.
+	Known   authority.Known // newest record revisions that the instance has
+	Details bool            // whether Heard and Reports are present
+	// StoreAge is the time since the store last answered this instance. It is
+	// negative if the store never did.
 	StoreAge time.Duration
-	// Heard is the time since each member last answered this instance, if Details.
+	// Heard holds, for each member, the time since it last answered this instance.
+	// It is set only with Details.
 	Heard map[fleet.InstanceID]time.Duration
-	// Reports are about the upstreams that this instance dispatches for, if Details.
+	// Reports holds the load reports of the upstreams that this instance is the
+	// dispatcher of. It is set only with Details.
 	Reports map[fleet.UpstreamID]assignment.Report
 }
 
-// RecordsRequest asks for the records that are newer than Known.
+// RecordsRequest asks for the catalogue and assignment records whose revisions are
+// higher than those in Known.
 type RecordsRequest struct {
 	Known authority.Known
 }
 
-// RecordsAnswer carries the newer records; a revision of 0 means no newer one.
+// RecordsAnswer carries the requested records in their encoded form. A revision of
+// 0 means that the answering instance has no newer record of that kind.
 type RecordsAnswer struct {
 	CatalogueRevision  fleet.Revision
 	Catalogue          []byte
@@ -62,51 +67,55 @@
 	Assignment         []byte
 }
 
-// TokensRequest asks the home of a limit for tokens.
+// TokensRequest asks the home of a limit, the instance that keeps its token
+// bucket, for a lease of tokens.
 type TokensRequest struct {
-	Holder fleet.InstanceID
+	Holder fleet.InstanceID // instance that will spend the tokens
 	Call   limit.Call
 }
 
-// TokensAnswer carries a token lease. A lease without TTL means that the
+// TokensAnswer carries a token lease. A lease with a TTL of 0 means that the
 // answering instance may not grant tokens of this limit now.
 type TokensAnswer struct {
 	Lease limit.Lease
 }
 
-// ReleasedRequest asks the dispatcher of Upstream whether every grant of the
-// units there with a lower fence has ended.
+// ReleasedRequest asks the dispatcher of Upstream, for the unit of each grant,
+// whether every grant of the unit to Upstream with a lower fence has ended.
 type ReleasedRequest struct {
 	Upstream   fleet.UpstreamID
-	Assignment fleet.Revision // the asker's; the answerer must know it too
+	Assignment fleet.Revision // of the sender; a receiver with an older one confirms nothing
 	Grants     []fleet.Grant
 }
 
-// ReleasedAnswer has one element per grant.
+// ReleasedAnswer holds one element per grant of the request, in the same order.
 type ReleasedAnswer struct {
 	Released []bool
 }
 
-// HomeReleaseRequest asks the former home of limits to stop granting their
-// tokens and to say what is left.
+// HomeReleaseRequest asks the former home of limits to stop granting their tokens
+// and to return the levels of their token buckets.
 type HomeReleaseRequest struct {
-	Assignment fleet.Revision // the asker's; the answerer must know it too
+	Assignment fleet.Revision // of the sender; a receiver with an older one releases nothing
 	IDs        []fleet.LimitID
 }
 
-// HomeReleaseAnswer has one level per id. Done is false if the answering
-// instance does not know the assignment yet.
+// HomeReleaseAnswer holds the tokens left in each bucket, in the order of the
+// request's IDs. Done is false, and Levels is unset, if the answering instance
+// does not know the assignment yet.
 type HomeReleaseAnswer struct {
 	Done   bool
 	Levels []fleet.Tokens
 }
 
-// ExplainRequest carries an encoded operator query to the other instances.
+// ExplainRequest carries an operator's query to another instance, as the URL query
+// string of operator.QueryValues.
 type ExplainRequest struct {
 	Query []byte
 }
 
-// ExplainAnswer carries the encoded explanation.
+// ExplainAnswer carries an operator.Explanation as JSON. It is empty if the query
+// could not be parsed.
 type ExplainAnswer struct {
 	Explanation []byte
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,8 +16,9 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// echo answers with what it was asked, so that every field makes a round trip.
-type echo struct{ polls chan PollRequest }
+// fakeHandler sends the poll requests that it receives to polls. Its answers are
+// fixed or repeat values of the request, so that tests can compare every field.
+type fakeHandler struct{ polls chan PollRequest }
 
 var (
 	wantPoll = PollAnswer{
@@ -33,37 +34,37 @@
 	wantLease = limit.Lease{ID: 5, Granted: 3, TTL: 500 * time.Millisecond, RetryAfter: 20 * time.Millisecond}
 )
 
-func (h echo) Poll(_ context.Context, m PollRequest) PollAnswer {
+func (h fakeHandler) Poll(_ context.Context, m PollRequest) PollAnswer {
 	h.polls <- m
 	return wantPoll
 }
 
-func (echo) Records(_ context.Context, m RecordsRequest) RecordsAnswer {
+func (fakeHandler) Records(_ context.Context, m RecordsRequest) RecordsAnswer {
 	return RecordsAnswer{CatalogueRevision: m.Known.Catalogue, Catalogue: []byte("c"), AssignmentRevision: 2, Assignment: []byte{0, 255}}
 }
 
-func (echo) Tokens(_ context.Context, m TokensRequest) TokensAnswer {
+func (fakeHandler) Tokens(_ context.Context, m TokensRequest) TokensAnswer {
 	if m.Holder == "i1" && len(m.Call.Closed) == 1 {
 		return TokensAnswer{Lease: wantLease}
 	}
 	return TokensAnswer{}
 }
 
-func (echo) Released(_ context.Context, m ReleasedRequest) ReleasedAnswer {
+func (fakeHandler) Released(_ context.Context, m ReleasedRequest) ReleasedAnswer {
 	return ReleasedAnswer{Released: []bool{m.Grants[0].Fence == 3, false}[:len(m.Grants)]}
 }
 
-func (echo) HomeRelease(_ context.Context, m HomeReleaseRequest) HomeReleaseAnswer {
+func (fakeHandler) HomeRelease(_ context.Context, m HomeReleaseRequest) HomeReleaseAnswer {
 	return HomeReleaseAnswer{Done: true, Levels: make([]fleet.Tokens, len(m.IDs))}
 }
 
-func (echo) Explain(_ context.Context, m ExplainRequest) ExplainAnswer {
+func (fakeHandler) Explain(_ context.Context, m ExplainRequest) ExplainAnswer {
 	return ExplainAnswer{Explanation: m.Query}
 }
 
-func start(t *testing.T, secret Secret) (*Server, echo) {
+func startServer(t *testing.T, secret Secret) (*Server, fakeHandler) {
 	t.Helper()
-	h := echo{polls: make(chan PollRequest, 10)}
+	h := fakeHandler{polls: make(chan PollRequest, 10)}
 	s, err := Listen("127.0.0.1:0", secret, h)
 	if err != nil {
 		t.Fatal(err)
@@ -74,20 +75,21 @@
 
 const secret Secret = "0123456789abcdef0123456789abcdef"
 
-// Guards against a field that is lost or altered between instances.
+// Guards against a message field that is lost or altered between client and
+// server.
 func TestMessages(t *testing.T) {
-	s, h := start(t, secret)
+	s, h := startServer(t, secret)
 	c := NewClient(secret)
 	defer c.Close()
-	ask := PollRequest{
+	pollRequest := PollRequest{
 		From:  assignment.Member{ID: "i1", Boot: "b1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "z"},
 		Phase: Serving, Known: authority.Known{Catalogue: 1, Assignment: 2}, Details: true, PollBack: true,
 	}
-	poll, err := c.Poll(t.Context(), s.Addr(), ask)
+	poll, err := c.Poll(t.Context(), s.Addr(), pollRequest)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(wantPoll, poll) + cmp.Diff(ask, <-h.polls); diff != "" {
+	if diff := cmp.Diff(wantPoll, poll) + cmp.Diff(pollRequest, <-h.polls); diff != "" {
 		t.Error(diff)
 	}
 	records, err := c.Records(t.Context(), s.Addr(), RecordsRequest{Known: authority.Known{Catalogue: 8}})
@@ -110,33 +112,33 @@
 	}
 }
 
-// Guards against an instance that takes messages from, or sends them to, a
-// process that does not hold the fleet secret.
+// Guards against an instance that exchanges messages with a process that does not
+// hold the fleet secret.
 func TestWrongSecret(t *testing.T) {
-	s, h := start(t, secret)
+	s, h := startServer(t, secret)
 	c := NewClient("another secret of 32 bytes.......")
 	defer c.Close()
 	if _, err := c.Poll(t.Context(), s.Addr(), PollRequest{}); err == nil || !strings.Contains(err.Error(), "secret") && !strings.Contains(err.Error(), "receive") {
 		t.Errorf("Poll = %v, want a refused handshake", err)
 	}
 	if len(h.polls) != 0 {
-		t.Error("the poll was handled")
+		t.Error("the server handled a poll of a client with the wrong secret")
 	}
 }
 
-// Guards against a caller that stays on a connection that went silent while new
-// ones work.
+// Guards against a client that keeps using a connection on which nothing arrives
+// any more, although a new connection would work.
 func TestSilentConnection(t *testing.T) {
-	s, _ := start(t, secret)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	s, _ := startServer(t, secret)
+	proxy, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = front.Close() }()
-	silent := make(chan struct{})
+	defer func() { _ = proxy.Close() }()
+	stall := make(chan struct{})
 	go func() {
 		for first := true; ; first = false {
-			in, err := front.Accept()
+			in, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -145,25 +147,26 @@
 				return
 			}
 			go func() { _, _ = io.Copy(in, out) }()
-			go copyUntil(out, in, silent, first)
+			go copyUntilStalled(out, in, stall, first)
 		}
 	}()
 	c := NewClient(secret)
 	defer c.Close()
-	if _, err := c.Poll(t.Context(), front.Addr().String(), PollRequest{}); err != nil {
+	if _, err := c.Poll(t.Context(), proxy.Addr().String(), PollRequest{}); err != nil {
 		t.Fatal(err)
 	}
-	close(silent)
-	if _, err := c.Poll(t.Context(), front.Addr().String(), PollRequest{}); err == nil {
-		t.Fatal("a call on the silent connection was answered")
+	close(stall)
+	if _, err := c.Poll(t.Context(), proxy.Addr().String(), PollRequest{}); err == nil {
+		t.Fatal("a call on the stalled connection was answered")
 	}
-	if _, err := c.Poll(t.Context(), front.Addr().String(), PollRequest{}); err != nil {
-		t.Errorf("call after the silence: %v", err)
+	if _, err := c.Poll(t.Context(), proxy.Addr().String(), PollRequest{}); err != nil {
+		t.Errorf("call after a time-out on the stalled connection: %v", err)
 	}
 }
 
-// copyUntil forwards bytes until silent closes, then drops them if it applies.
-func copyUntil(dst, src net.Conn, silent chan struct{}, applies bool) {
+// copyUntilStalled copies from src to dst. Once stall is closed, it discards what
+// it reads if stallable is set.
+func copyUntilStalled(dst, src net.Conn, stall chan struct{}, stallable bool) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := src.Read(buf)
@@ -171,8 +174,8 @@
 			return
 		}
 		select {
-		case <-silent:
-			if applies {
+		case <-stall:
+			if stallable {
 				continue
 			}
 		default:
@@ -183,7 +186,8 @@
 	}
 }
 
-// Guards against a message that crashes the instance that receives it.
+// Guards against a received message that makes the decoder panic, and against an
+// accepted message whose own encoding is refused.
 func FuzzUnmarshal(f *testing.F) {
 	f.Add(marshal(&wantPoll))
 	f.Add(marshal(&TokensRequest{Call: limit.Call{Closed: []limit.Closed{{}}}}))
