--- a/internal/operator/alarms.go
+++ b/internal/operator/alarms.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Alarm is a condition that an operator should know about; docs/OPERATIONS.md has
-// a section for each name.
+// Alarm is a condition that needs an operator's attention. docs/OPERATIONS.md has
+// a section for each alarm name.
 type Alarm struct {
 	Name   AlarmName
-	Detail string
+	Detail string // one line that names the instance, upstream or service concerned
 }
 
 // AlarmName identifies a kind of alarm.
@@ -17,19 +17,29 @@
 
 // Names of alarms.
 const (
-	AlarmNoAuthority     AlarmName = "no-authority"
-	AlarmStoreSilent     AlarmName = "store-silent"
-	AlarmMemberSilent    AlarmName = "member-silent"
-	AlarmMajoritySilent  AlarmName = "majority-silent"
-	AlarmNotMember       AlarmName = "not-a-member"
-	AlarmNoDispatcher    AlarmName = "no-dispatcher"
-	AlarmUpstreamLost    AlarmName = "upstream-lost"
-	AlarmUpstreamCold    AlarmName = "upstream-cold"
-	AlarmServiceDown     AlarmName = "service-down"
+	// AlarmNoAuthority means that the instance may not act on its records.
+	AlarmNoAuthority AlarmName = "no-authority"
+	// AlarmStoreSilent means that the store has not answered for more than 2 s.
+	AlarmStoreSilent AlarmName = "store-silent"
+	// AlarmMemberSilent means that a member has not answered a poll for more than 600 ms.
+	AlarmMemberSilent AlarmName = "member-silent"
+	// AlarmMajoritySilent means that at least half of the members do not answer.
+	AlarmMajoritySilent AlarmName = "majority-silent"
+	// AlarmNotMember means that the instance is not in the member list.
+	AlarmNotMember AlarmName = "not-a-member"
+	// AlarmNoDispatcher means that no instance is the dispatcher of an upstream.
+	AlarmNoDispatcher AlarmName = "no-dispatcher"
+	// AlarmUpstreamLost means that an upstream is lost.
+	AlarmUpstreamLost AlarmName = "upstream-lost"
+	// AlarmUpstreamCold means that an upstream is limited to fewer concurrent requests than when warm.
+	AlarmUpstreamCold AlarmName = "upstream-cold"
+	// AlarmServiceDown means that a service has no live upstream with a dispatcher.
+	AlarmServiceDown AlarmName = "service-down"
+	// AlarmOutOfServiceOld means that an item has been out of service for more than 24 h.
 	AlarmOutOfServiceOld AlarmName = "out-of-service-old"
 )
 
-// AlarmNames returns every name, the most severe first.
+// AlarmNames returns the names of all alarms, the most severe first.
 func AlarmNames() []AlarmName {
 	return []AlarmName{
 		AlarmNoAuthority, AlarmServiceDown, AlarmMajoritySilent, AlarmMemberSilent, AlarmNotMember,
@@ -38,80 +48,86 @@
 }
 
 const (
-	// storeSilence is above the 250 ms between reads plus a slow response.
-	storeSilence = 2 * time.Second
-	// memberSilence is the time after which the planner removes a member.
-	memberSilence = 600 * time.Millisecond
-	// outageOld is longer than a usual maintenance window.
-	outageOld = 24 * time.Hour
+	// storeSilentAfter is longer than the 250 ms between two reads of the store plus a
+	// slow response.
+	storeSilentAfter = 2 * time.Second
+	// memberSilentAfter equals the time without an answer after which the planner
+	// removes a member.
+	memberSilentAfter = 600 * time.Millisecond
+	// outageOldAfter is longer than a usual maintenance window.
+	outageOldAfter = 24 * time.Hour
 )
 
-// Alarms derives the alarms from the status, the most severe first.
+// Alarms returns the alarms that follow from the status, the most severe first. It
+// does not need the alarms that an instance sent.
 func (s Status) Alarms() []Alarm {
-	var out []Alarm
+	var alarms []Alarm
 	add := func(name AlarmName, format string, args ...any) {
-		out = append(out, Alarm{name, fmt.Sprintf(format, args...)})
+		alarms = append(alarms, Alarm{name, fmt.Sprintf(format, args...)})
 	}
 	if !s.Authority.After(s.Now) {
-		add(AlarmNoAuthority, "%s may not act since %s ago", s.Instance, age(s.Now, s.Authority))
+		add(AlarmNoAuthority, "%s may not act since %s ago", s.Instance, formatAge(s.Now, s.Authority))
 	}
 	s.serviceAlarms(add)
 	s.memberAlarms(add)
-	if s.Now.Sub(s.StoreAnswered) > storeSilence {
-		add(AlarmStoreSilent, "the store last answered %s %s ago", s.Instance, age(s.Now, s.StoreAnswered))
+	if s.Now.Sub(s.StoreAnswered) > storeSilentAfter {
+		add(AlarmStoreSilent, "the store last answered %s %s ago", s.Instance, formatAge(s.Now, s.StoreAnswered))
 	}
 	s.upstreamAlarms(add)
 	for _, o := range s.OutOfService {
-		if s.Now.Sub(o.At) > outageOld {
-			add(AlarmOutOfServiceOld, "%s %s is out of service since %s ago, taken out by %s", o.Kind, o.Name, age(s.Now, o.At), o.By)
+		if s.Now.Sub(o.At) > outageOldAfter {
+			add(AlarmOutOfServiceOld, "%s %s is out of service since %s ago, taken out by %s", o.Kind, o.Name, formatAge(s.Now, o.At), o.By)
 		}
 	}
-	return out
+	return alarms
 }
 
-type addAlarm func(name AlarmName, format string, args ...any)
+type addAlarmFunc func(name AlarmName, format string, args ...any)
 
-// serviceAlarms reports services without an upstream that can serve.
-func (s Status) serviceAlarms(add addAlarm) {
+// serviceAlarms reports each service without a live upstream that has a dispatcher.
+func (s Status) serviceAlarms(add addAlarmFunc) {
 	usable := make(map[string]bool)
-	var order []string
+	var names []string
 	for _, u := range s.Upstreams {
 		name := string(u.Service)
 		if _, ok := usable[name]; !ok {
-			order = append(order, name)
+			names = append(names, name)
 		}
 		usable[name] = usable[name] || u.State == "live" && u.Dispatcher != ""
 	}
-	for _, name := range order {
+	for _, name := range names {
 		if !usable[name] {
 			add(AlarmServiceDown, "%s has no live upstream with a dispatcher", name)
 		}
 	}
 }
 
-func (s Status) memberAlarms(add addAlarm) {
-	heard, self := 0, false
+// memberAlarms reports members that do not answer, the loss of the majority, and an
+// instance that is not a member.
+func (s Status) memberAlarms(add addAlarmFunc) {
+	heard, selfListed := 0, false
 	for _, m := range s.Members {
 		if m.ID == s.Instance {
-			self = true
+			selfListed = true
 			heard++
 			continue
 		}
-		if s.Now.Sub(m.Heard) <= memberSilence {
+		if s.Now.Sub(m.Heard) <= memberSilentAfter {
 			heard++
 			continue
 		}
-		add(AlarmMemberSilent, "%s in zone %s was last heard %s ago", m.ID, m.Zone, age(s.Now, m.Heard))
+		add(AlarmMemberSilent, "%s in zone %s was last heard %s ago", m.ID, m.Zone, formatAge(s.Now, m.Heard))
 	}
 	if 2*heard <= len(s.Members) {
 		add(AlarmMajoritySilent, "%s hears %d of %d members", s.Instance, heard, len(s.Members))
 	}
-	if !self {
+	if !selfListed {
 		add(AlarmNotMember, "%s is not in the member list", s.Instance)
 	}
 }
 
-func (s Status) upstreamAlarms(add addAlarm) {
+// upstreamAlarms reports at most one alarm for each upstream.
+func (s Status) upstreamAlarms(add addAlarmFunc) {
 	for _, u := range s.Upstreams {
 		switch {
 		case u.State == "lost":
@@ -124,7 +140,8 @@
 	}
 }
 
-func age(now, at time.Time) string {
+// formatAge returns the time from at to now, rounded to 100 ms.
+func formatAge(now, at time.Time) string {
 	if at.IsZero() {
 		return "an unknown time"
 	}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -14,7 +14,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Client calls the API of one instance. It makes each call once.
+// Client calls the API of one instance and implements Backend. It never retries a
+// call.
 type Client struct {
 	pool  *http1.Pool
 	token string
@@ -22,7 +23,8 @@
 
 var _ Backend = (*Client)(nil)
 
-// NewClient returns a client of the API at addr ("IP:port").
+// NewClient returns a client of the API at addr ("IP:port") that authenticates
+// with the operators' token.
 func NewClient(c *http1.Client, addr, token string) *Client {
 	return &Client{pool: c.NewPool(addr, http1.PoolConfig{MaxConns: 8}), token: token}
 }
@@ -30,20 +32,25 @@
 // Close closes the client's connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// Catalogue returns the catalogue and its revision.
+// Catalogue returns the catalogue and its revision. It fails if this version of
+// the program cannot parse the catalogue.
 func (c *Client) Catalogue(ctx context.Context) (*catalogue.Catalogue, fleet.Revision, error) {
-	var s stored
+	var s catalogueBody
 	if err := c.get(ctx, pathCatalogue, nil, &s); err != nil {
 		return nil, 0, err
 	}
-	cat, err := catalogue.Parse("catalogue of "+c.pool.Addr(), []byte(s.catalogue))
+	cat, err := catalogue.Parse("catalogue of "+c.pool.Addr(), []byte(s.yaml))
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "the instance sent a catalogue that this version cannot read")
 	}
 	return cat, s.revision, nil
 }
 
-// Apply stores cat if the catalogue's revision is still base.
+// Apply stores cat if the catalogue's revision is still base, and returns the new
+// revision. Beyond the errors of Backend.Apply it returns *InvalidError for a
+// refused catalogue. An *UnknownError is also returned for a lost or unreadable
+// response, an *UnavailableError only if no byte of the request was sent or the
+// instance reported it.
 func (c *Client) Apply(ctx context.Context, base fleet.Revision, cat *catalogue.Catalogue, by string) (fleet.Revision, error) {
 	req := &http1.Request{
 		Method: http.MethodPut,
@@ -51,14 +58,15 @@
 		Header: http.Header{headerOperator: {by}},
 		Body:   cat.Format(),
 	}
-	var s stored
-	if err := c.do(ctx, req, &s); err != nil {
+	var s catalogueBody
+	if err := c.send(ctx, req, &s); err != nil {
 		return 0, err
 	}
 	return s.revision, nil
 }
 
-// InForce reports how far rev, or a later revision, has come.
+// InForce reports how far the catalogue revision rev, or a later one, has been
+// put in force.
 func (c *Client) InForce(ctx context.Context, rev fleet.Revision) (Progress, error) {
 	var p Progress
 	err := c.get(ctx, pathInForce, url.Values{"revision": {formatRevision(rev)}}, &p)
@@ -72,7 +80,7 @@
 	return s, err
 }
 
-// Explain answers q.
+// Explain asks the instance to answer q.
 func (c *Client) Explain(ctx context.Context, q Query) (Explanation, error) {
 	var x Explanation
 	err := c.get(ctx, pathExplain, QueryValues(q), &x)
@@ -87,10 +95,10 @@
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	return c.do(ctx, &http1.Request{Method: http.MethodGet, Target: path}, out)
+	return c.send(ctx, &http1.Request{Method: http.MethodGet, Target: path}, out)
 }
 
-func (c *Client) do(ctx context.Context, req *http1.Request, out decodable) error {
+func (c *Client) send(ctx context.Context, req *http1.Request, out decodable) error {
 	if req.Header == nil {
 		req.Header = http.Header{}
 	}
@@ -100,7 +108,7 @@
 		return transportError(req.Method, err)
 	}
 	if res.Status != http.StatusOK {
-		return c.failure(req.Method, res)
+		return c.responseError(req.Method, res)
 	}
 	if err := out.Decode(jx.DecodeBytes(res.Body)); err != nil {
 		err = errors.Wrapf(err, "response of %s", c.pool.Addr())
@@ -112,7 +120,8 @@
 	return nil
 }
 
-// transportError keeps apart what was not sent and what may have been stored.
+// transportError classifies an error without a response: a PUT of which any byte
+// was sent may have been stored; everything else had no effect.
 func transportError(method string, err error) error {
 	var notSent *http1.NotSentError
 	if method == http.MethodPut && !errors.As(err, &notSent) {
@@ -121,9 +130,9 @@
 	return &UnavailableError{err}
 }
 
-// failure turns an error response into the error that the backend returned.
-func (c *Client) failure(method string, res *http1.Response) error {
-	var f failure
+// responseError converts an error response to the error that the backend returned.
+func (c *Client) responseError(method string, res *http1.Response) error {
+	var f errorBody
 	if err := f.Decode(jx.DecodeBytes(res.Body)); err != nil || f.kind == "" {
 		err := errors.Errorf("%s answered with status %d and no explanation", c.pool.Addr(), res.Status)
 		if method == http.MethodPut {
--- a/internal/operator/codec.go
+++ b/internal/operator/codec.go
@@ -10,11 +10,11 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// The JSON forms use kebab case. Empty fields are left out, and decoders skip
-// unknown fields, so that instances and clients of neighbouring versions
-// understand each other.
+// JSON field names are in kebab case. Encoders omit fields with zero values, and
+// decoders skip unknown fields, so that instances and clients of adjacent versions
+// are compatible.
 
-// encoder writes the fields of one object.
+// encoder writes the fields of JSON objects. Its methods omit zero values.
 type encoder struct{ *jx.Encoder }
 
 func (e encoder) text(name, v string) {
@@ -67,14 +67,15 @@
 	encodeList(e, name, in, func(e encoder, v T) { e.Str(string(v)) })
 }
 
-// object encodes one object through f.
+// object writes an object whose fields f writes.
 func (e encoder) object(f func(encoder)) {
 	e.ObjStart()
 	f(e)
 	e.ObjEnd()
 }
 
-// decodeObject calls the decoder of each known field.
+// decodeObject calls the decoder of each known field, by name, and skips the
+// others. The error names the field.
 func decodeObject(d *jx.Decoder, fields map[string]func(*jx.Decoder) error) error {
 	return d.Obj(func(d *jx.Decoder, key string) error {
 		f, ok := fields[key]
@@ -88,7 +89,7 @@
 	})
 }
 
-func text[T ~string](v *T) func(*jx.Decoder) error {
+func textField[T ~string](v *T) func(*jx.Decoder) error {
 	return func(d *jx.Decoder) error {
 		s, err := d.Str()
 		*v = T(s)
@@ -145,7 +146,7 @@
 }
 
 func stringsField[T ~string](v *[]T) func(*jx.Decoder) error {
-	return listField(v, func(d *jx.Decoder, s *T) error { return text(s)(d) })
+	return listField(v, func(d *jx.Decoder, s *T) error { return textField(s)(d) })
 }
 
 // Encode writes the progress as JSON.
@@ -172,8 +173,9 @@
 	})
 }
 
-// Encode writes the status as JSON. The alarms are written for programs that read
-// the API; Decode leaves them out because they follow from the rest.
+// Encode writes the status and its alarms as JSON. The alarms are for other
+// programs that read the API; Decode ignores them, because Alarms derives them from
+// the other fields.
 func (s Status) Encode(e *jx.Encoder) {
 	encoder{e}.object(func(e encoder) {
 		e.text("instance", string(s.Instance))
@@ -200,15 +202,15 @@
 // Decode reads what Encode wrote.
 func (s *Status) Decode(d *jx.Decoder) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"instance":            text(&s.Instance),
-		"zone":                text(&s.Zone),
-		"boot":                text(&s.Boot),
+		"instance":            textField(&s.Instance),
+		"zone":                textField(&s.Zone),
+		"boot":                textField(&s.Boot),
 		"now":                 timeField(&s.Now),
 		"authority-until":     timeField(&s.Authority),
 		"store-answered":      timeField(&s.StoreAnswered),
 		"catalogue-revision":  uintField(&s.Catalogue),
 		"assignment-revision": uintField(&s.Assignment),
-		"planner":             text(&s.Planner),
+		"planner":             textField(&s.Planner),
 		"members":             listField(&s.Members, decodeMember),
 		"upstreams":           listField(&s.Upstreams, decodeUpstream),
 		"out-of-service":      listField(&s.OutOfService, decodeOutage),
@@ -226,7 +228,7 @@
 
 func decodeMember(d *jx.Decoder, m *MemberStatus) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"id": text(&m.ID), "zone": text(&m.Zone), "address": text(&m.Address), "heard": timeField(&m.Heard),
+		"id": textField(&m.ID), "zone": textField(&m.Zone), "address": textField(&m.Address), "heard": timeField(&m.Heard),
 	})
 }
 
@@ -247,8 +249,8 @@
 
 func decodeUpstream(d *jx.Decoder, u *UpstreamStatus) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"id": text(&u.ID), "service": text(&u.Service), "zone": text(&u.Zone),
-		"dispatcher": text(&u.Dispatcher), "state": text(&u.State), "known": boolField(&u.Known),
+		"id": textField(&u.ID), "service": textField(&u.Service), "zone": textField(&u.Zone),
+		"dispatcher": textField(&u.Dispatcher), "state": textField(&u.State), "known": boolField(&u.Known),
 		"limit": intField(&u.Limit), "slots": intField(&u.Slots),
 		"in-flight": intField(&u.InFlight), "queued": intField(&u.Queued),
 	})
@@ -265,7 +267,7 @@
 
 func decodeOutage(d *jx.Decoder, o *catalogue.Outage) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"kind": text(&o.Kind), "name": text(&o.Name), "by": text(&o.By), "at": timeField(&o.At),
+		"kind": textField(&o.Kind), "name": textField(&o.Name), "by": textField(&o.By), "at": timeField(&o.At),
 	})
 }
 
@@ -280,8 +282,8 @@
 }
 
 func unitFields(u *fleet.Unit, fields map[string]func(*jx.Decoder) error) map[string]func(*jx.Decoder) error {
-	fields["service"] = text(&u.Service)
-	fields["pin"] = text(&u.Pin)
+	fields["service"] = textField(&u.Service)
+	fields["pin"] = textField(&u.Pin)
 	fields["shard"] = func(d *jx.Decoder) error {
 		n, err := d.UInt32()
 		u.Shard = fleet.ShardID(n)
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -9,7 +9,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// QueryValues returns the parameters that ParseQuery reads.
+// QueryValues returns q as the URL parameters that ParseQuery reads.
 func QueryValues(q Query) url.Values {
 	v := url.Values{}
 	switch q := q.(type) {
@@ -27,10 +27,11 @@
 	return v
 }
 
-// ParseQuery reads kind=key with service and key, or kind=request or kind=account
-// with id.
+// ParseQuery returns the query in the URL parameters v: kind=key with service and
+// key, kind=request with id, or kind=account with id. It returns an error if the
+// kind is unknown or a parameter is missing.
 func ParseQuery(v url.Values) (Query, error) {
-	need := func(names ...string) error {
+	requireParams := func(names ...string) error {
 		for _, n := range names {
 			if v.Get(n) == "" {
 				return errors.Errorf("parameter %s is required for kind %s", n, v.Get("kind"))
@@ -40,11 +41,11 @@
 	}
 	switch kind := v.Get("kind"); kind {
 	case "key":
-		return KeyQuery{fleet.ServiceID(v.Get("service")), fleet.RoutingKey(v.Get("key"))}, need("service", "key")
+		return KeyQuery{fleet.ServiceID(v.Get("service")), fleet.RoutingKey(v.Get("key"))}, requireParams("service", "key")
 	case "request":
-		return RequestQuery{fleet.RequestID(v.Get("id"))}, need("id")
+		return RequestQuery{fleet.RequestID(v.Get("id"))}, requireParams("id")
 	case "account":
-		return AccountQuery{fleet.AccountID(v.Get("id"))}, need("id")
+		return AccountQuery{fleet.AccountID(v.Get("id"))}, requireParams("id")
 	default:
 		return nil, errors.Errorf("parameter kind %q: want key, request or account", kind)
 	}
@@ -91,8 +92,8 @@
 
 func decodeOwnership(d *jx.Decoder, o *Ownership) error {
 	return decodeObject(d, unitFields(&o.Unit, map[string]func(*jx.Decoder) error{
-		"owner": text(&o.Owner), "fence": uintField(&o.Fence), "since": timeField(&o.Since),
-		"dispatcher": text(&o.Dispatcher), "previous": stringsField(&o.Previous),
+		"owner": textField(&o.Owner), "fence": uintField(&o.Fence), "since": timeField(&o.Since),
+		"dispatcher": textField(&o.Dispatcher), "previous": stringsField(&o.Previous),
 	}))
 }
 
@@ -110,8 +111,8 @@
 
 func decodeMove(d *jx.Decoder, m *Move) error {
 	return decodeObject(d, unitFields(&m.Unit, map[string]func(*jx.Decoder) error{
-		"at": timeField(&m.At), "from": text(&m.From), "to": text(&m.To),
-		"fence": uintField(&m.Fence), "cause": text(&m.Cause), "detail": text(&m.Detail),
+		"at": timeField(&m.At), "from": textField(&m.From), "to": textField(&m.To),
+		"fence": uintField(&m.Fence), "cause": textField(&m.Cause), "detail": textField(&m.Detail),
 	}))
 }
 
@@ -130,8 +131,8 @@
 
 func decodeRefused(d *jx.Decoder, r *Refused) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"at": timeField(&r.At), "instance": text(&r.Instance), "request": text(&r.Request),
-		"account": text(&r.Account), "entry": text(&r.Entry), "key": text(&r.Key),
-		"reason": text(&r.Reason), "detail": text(&r.Detail),
+		"at": timeField(&r.At), "instance": textField(&r.Instance), "request": textField(&r.Request),
+		"account": textField(&r.Account), "entry": textField(&r.Entry), "key": textField(&r.Key),
+		"reason": textField(&r.Reason), "detail": textField(&r.Detail),
 	})
 }
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -27,17 +27,19 @@
 	pathExplain   = "/v1/explain"
 )
 
-// headerOperator names who makes a change.
+// headerOperator is the request header with the name of the operator who makes a
+// change.
 const headerOperator = "Parsley-Operator"
 
-// maxBy is the longest name of an operator, as for a catalogue outage.
-const maxBy = 256
+// maxOperatorName is the longest operator name in bytes. The field "by" of a
+// catalogue outage has the same limit.
+const maxOperatorName = 256
 
-// callTimeout bounds a backend call. A write may have to be read back from a slow
-// store.
+// callTimeout bounds a backend call. It allows for a write whose result must be
+// read back from a slow store.
 const callTimeout = 10 * time.Second
 
-// Kinds of error in a response.
+// Kinds of error, in the field "error" of an error response.
 const (
 	kindBadRequest      = "bad-request"
 	kindUnauthenticated = "unauthenticated"
@@ -60,10 +62,10 @@
 	kindInternal:        http.StatusInternalServerError,
 }
 
-// Handler serves the API to callers that present the token as a bearer token. An
-// empty token admits nobody.
+// Handler returns a handler that serves the API of b to clients that send token as
+// a bearer token. With an empty token it refuses every request.
 func Handler(b Backend, token string) http.Handler {
-	h := &handler{backend: b, token: sha256.Sum256([]byte(token)), closed: token == ""}
+	h := &handler{backend: b, token: sha256.Sum256([]byte(token)), tokenUnset: token == ""}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathCatalogue, h.serve(h.catalogue))
 	mux.HandleFunc("PUT "+pathCatalogue, h.serve(h.apply))
@@ -77,18 +79,20 @@
 }
 
 type handler struct {
-	backend Backend
-	token   [sha256.Size]byte
-	closed  bool
+	backend    Backend
+	token      [sha256.Size]byte
+	tokenUnset bool
 }
 
 type encodable interface{ Encode(e *jx.Encoder) }
 
-// apiError is an error with its kind.
+// apiError is an error that is sent with the given kind.
 type apiError struct{ kind, detail string }
 
 func (e *apiError) Error() string { return e.kind + ": " + e.detail }
 
+// serve returns a handler that authenticates the request and writes the result of
+// f or its error.
 func (h *handler) serve(f func(context.Context, *http.Request) (encodable, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !h.authenticated(r) {
@@ -103,37 +107,38 @@
 			writeError(w, err)
 			return
 		}
-		write(w, http.StatusOK, v)
+		writeJSON(w, http.StatusOK, v)
 	}
 }
 
-// authenticated compares hashes, so that the time taken tells neither the content
-// nor the length of the token.
+// authenticated reports whether r has the operators' token. It compares hashes in
+// constant time, so that the response time reveals neither the content nor the
+// length of the token.
 func (h *handler) authenticated(r *http.Request) bool {
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	sum := sha256.Sum256([]byte(token))
-	same := subtle.ConstantTimeCompare(sum[:], h.token[:]) == 1
-	return same && !h.closed && strings.EqualFold(scheme, "Bearer")
+	matches := subtle.ConstantTimeCompare(sum[:], h.token[:]) == 1
+	return matches && !h.tokenUnset && strings.EqualFold(scheme, "Bearer")
 }
 
-// stored is a catalogue with its revision; without a catalogue it is the response
-// to a change.
-type stored struct {
-	revision  fleet.Revision
-	catalogue string
+// catalogueBody is the body of responses about the catalogue. The response to a
+// change has no catalogue.
+type catalogueBody struct {
+	revision fleet.Revision
+	yaml     string
 }
 
 // Encode writes the JSON form.
-func (s stored) Encode(e *jx.Encoder) {
+func (s catalogueBody) Encode(e *jx.Encoder) {
 	encoder{e}.object(func(e encoder) {
 		e.uint("revision", uint64(s.revision))
-		e.text("catalogue", s.catalogue)
+		e.text("catalogue", s.yaml)
 	})
 }
 
-func (s *stored) Decode(d *jx.Decoder) error {
+func (s *catalogueBody) Decode(d *jx.Decoder) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"revision": uintField(&s.revision), "catalogue": text(&s.catalogue),
+		"revision": uintField(&s.revision), "catalogue": textField(&s.yaml),
 	})
 }
 
@@ -142,16 +147,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return stored{rev, string(c.Format())}, nil
+	return catalogueBody{rev, string(c.Format())}, nil
 }
 
 func (h *handler) apply(ctx context.Context, r *http.Request) (encodable, error) {
-	base, err := revision(r, "base")
+	base, err := revisionParam(r, "base")
 	if err != nil {
 		return nil, err
 	}
-	by := strings.TrimSpace(r.Header.Get(headerOperator)) // nbhttp reads an empty value as a space
-	if err := checkBy(by); err != nil {
+	by := strings.TrimSpace(r.Header.Get(headerOperator)) // nbhttp returns an empty value as a space
+	if err := checkOperatorName(by); err != nil {
 		return nil, err
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, catalogue.MaxSize+1))
@@ -169,11 +174,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return stored{revision: rev}, nil
+	return catalogueBody{revision: rev}, nil
 }
 
-// checkEdit compares c with the catalogue at base. If the backend knows a later
-// one, Apply reports the conflict.
+// checkEdit checks c as an edit of the catalogue at revision base. It accepts an
+// edit of an older revision without a check, because Apply then reports the
+// conflict.
 func (h *handler) checkEdit(ctx context.Context, base fleet.Revision, c *catalogue.Catalogue) error {
 	old, rev, err := h.backend.Catalogue(ctx)
 	if err != nil {
@@ -191,15 +197,15 @@
 	return nil
 }
 
-func checkBy(by string) error {
-	bad := func(r rune) bool { return !unicode.IsPrint(r) || r == utf8.RuneError }
-	if by == "" || len(by) > maxBy || strings.ContainsFunc(by, bad) {
-		return &apiError{kindBadRequest, "header " + headerOperator + ": want who makes the change, in at most 256 printable bytes"}
+func checkOperatorName(name string) error {
+	unprintable := func(r rune) bool { return !unicode.IsPrint(r) || r == utf8.RuneError }
+	if name == "" || len(name) > maxOperatorName || strings.ContainsFunc(name, unprintable) {
+		return &apiError{kindBadRequest, "header " + headerOperator + ": want the name of the operator who makes the change, in at most 256 printable bytes"}
 	}
 	return nil
 }
 
-func revision(r *http.Request, name string) (fleet.Revision, error) {
+func revisionParam(r *http.Request, name string) (fleet.Revision, error) {
 	v := r.URL.Query().Get(name)
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
@@ -209,15 +215,15 @@
 }
 
 func (h *handler) inForce(ctx context.Context, r *http.Request) (encodable, error) {
-	rev, err := revision(r, "revision")
+	rev, err := revisionParam(r, "revision")
 	if err != nil {
 		return nil, err
 	}
-	return result(h.backend.InForce(ctx, rev))
+	return asEncodable(h.backend.InForce(ctx, rev))
 }
 
 func (h *handler) status(ctx context.Context, _ *http.Request) (encodable, error) {
-	return result(h.backend.Status(ctx))
+	return asEncodable(h.backend.Status(ctx))
 }
 
 func (h *handler) explain(ctx context.Context, r *http.Request) (encodable, error) {
@@ -225,19 +231,20 @@
 	if err != nil {
 		return nil, &apiError{kindBadRequest, err.Error()}
 	}
-	return result(h.backend.Explain(ctx, q))
+	return asEncodable(h.backend.Explain(ctx, q))
 }
 
-func result[T encodable](v T, err error) (encodable, error) { return v, err }
+func asEncodable[T encodable](v T, err error) (encodable, error) { return v, err }
 
-// failure is the body of an error response.
-type failure struct {
+// errorBody is the body of an error response. The conflict is set for kind
+// conflict only.
+type errorBody struct {
 	kind, detail string
 	conflict     ConflictError
 }
 
 // Encode writes the JSON form.
-func (f failure) Encode(e *jx.Encoder) {
+func (f errorBody) Encode(e *jx.Encoder) {
 	encoder{e}.object(func(e encoder) {
 		e.text("error", f.kind)
 		e.text("detail", f.detail)
@@ -248,16 +255,18 @@
 	})
 }
 
-func (f *failure) Decode(d *jx.Decoder) error {
+func (f *errorBody) Decode(d *jx.Decoder) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"error": text(&f.kind), "detail": text(&f.detail),
+		"error": textField(&f.kind), "detail": textField(&f.detail),
 		"base": uintField(&f.conflict.Base), "current": uintField(&f.conflict.Current),
-		"by": text(&f.conflict.By), "at": timeField(&f.conflict.At),
+		"by": textField(&f.conflict.By), "at": timeField(&f.conflict.At),
 	})
 }
 
+// writeError writes err with the kind and HTTP status of its type. An error of an
+// unknown type is of kind internal.
 func writeError(w http.ResponseWriter, err error) {
-	f := failure{kind: kindInternal, detail: err.Error()}
+	f := errorBody{kind: kindInternal, detail: err.Error()}
 	var (
 		api         *apiError
 		conflict    *ConflictError
@@ -277,10 +286,10 @@
 	case errors.As(err, &invalid):
 		f.kind = kindInvalid
 	}
-	write(w, kindStatus[f.kind], f)
+	writeJSON(w, kindStatus[f.kind], f)
 }
 
-func write(w http.ResponseWriter, status int, v encodable) {
+func writeJSON(w http.ResponseWriter, status int, v encodable) {
 	e := jx.GetEncoder()
 	defer jx.PutEncoder(e)
 	v.Encode(e)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,30 +19,31 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-const token = "k7f3-q9x2-m4z8-w1"
+const testToken = "k7f3-q9x2-m4z8-w1"
 
 var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// fake keeps one catalogue and fails as told.
-type fake struct {
+// fakeBackend keeps one catalogue in memory. Its fields determine what the other
+// methods return.
+type fakeBackend struct {
 	mu       sync.Mutex
 	cat      *catalogue.Catalogue
 	rev      fleet.Revision
 	by       string
-	err      error // of Apply
-	progress []operator.Progress
+	err      error               // returned by Apply if set
+	progress []operator.Progress // results of InForce; the last one is repeated
 	status   operator.Status
 	explain  operator.Explanation
 	query    operator.Query
 }
 
-func (f *fake) Catalogue(context.Context) (*catalogue.Catalogue, fleet.Revision, error) {
+func (f *fakeBackend) Catalogue(context.Context) (*catalogue.Catalogue, fleet.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cat.Clone(), f.rev, nil
 }
 
-func (f *fake) Apply(_ context.Context, base fleet.Revision, c *catalogue.Catalogue, by string) (fleet.Revision, error) {
+func (f *fakeBackend) Apply(_ context.Context, base fleet.Revision, c *catalogue.Catalogue, by string) (fleet.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err != nil {
@@ -56,7 +57,7 @@
 	return f.rev, nil
 }
 
-func (f *fake) InForce(_ context.Context, _ fleet.Revision) (operator.Progress, error) {
+func (f *fakeBackend) InForce(_ context.Context, _ fleet.Revision) (operator.Progress, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.progress) == 0 {
@@ -69,46 +70,47 @@
 	return p, nil
 }
 
-func (f *fake) Status(context.Context) (operator.Status, error) { return f.status, nil }
+func (f *fakeBackend) Status(context.Context) (operator.Status, error) { return f.status, nil }
 
-func (f *fake) Explain(_ context.Context, q operator.Query) (operator.Explanation, error) {
+func (f *fakeBackend) Explain(_ context.Context, q operator.Query) (operator.Explanation, error) {
 	f.query = q
 	return f.explain, nil
 }
 
-// eventLoops are not closed: nbio's Stop never returns if a poller's goroutine has
-// not run yet.
-var eventLoops = sync.OnceValues(http1.NewClient)
+// sharedHTTPClient is never closed: the Stop function of package nbio does not
+// return if the goroutine of a poller has not run yet.
+var sharedHTTPClient = sync.OnceValues(http1.NewClient)
 
-func serve(t *testing.T, b operator.Backend) (*operator.Client, *http1.Pool) {
+func startServer(t *testing.T, b operator.Backend) (*operator.Client, *http1.Pool) {
 	t.Helper()
-	s, err := http1.Listen(http1.ServerConfig{Addr: "127.0.0.1:0", Handler: operator.Handler(b, token)})
+	s, err := http1.Listen(http1.ServerConfig{Addr: "127.0.0.1:0", Handler: operator.Handler(b, testToken)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	events, err := eventLoops()
+	httpClient, err := sharedHTTPClient()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return operator.NewClient(events, s.Addr(), token), events.NewPool(s.Addr(), http1.PoolConfig{})
+	return operator.NewClient(httpClient, s.Addr(), testToken), httpClient.NewPool(s.Addr(), http1.PoolConfig{})
 }
 
 func account(id string) catalogue.Account { return catalogue.Account{ID: fleet.AccountID(id)} }
 
-// Guards against lost updates: of several operators that edit the same revision
-// one wins, and every other one is told the revision that won and who wrote it.
+// Guards against lost updates: of several concurrent edits of the same revision
+// one is stored, and every other one gets a conflict with the current revision and
+// its author.
 func TestRacingOperators(t *testing.T) {
-	f := &fake{cat: &catalogue.Catalogue{}, rev: 7, by: "nobody"}
-	c, _ := serve(t, f)
-	const racers = 8
+	f := &fakeBackend{cat: &catalogue.Catalogue{}, rev: 7, by: "nobody"}
+	c, _ := startServer(t, f)
+	const editors = 8
 	base, rev, err := c.Catalogue(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var wg sync.WaitGroup
-	errs := make([]error, racers)
-	for i := range racers {
+	errs := make([]error, editors)
+	for i := range editors {
 		wg.Go(func() {
 			edited := base.Clone()
 			edited.Accounts = append(edited.Accounts, account(fmt.Sprintf("operator-%d", i)))
@@ -122,13 +124,13 @@
 	for i, err := range errs {
 		if f.by == fmt.Sprintf("operator-%d", i) {
 			if err != nil {
-				t.Errorf("winner: %v", err)
+				t.Errorf("stored edit: %v", err)
 			}
 			continue
 		}
 		var conflict *operator.ConflictError
 		if !errors.As(err, &conflict) {
-			t.Fatalf("loser %d: %v", i, err)
+			t.Fatalf("edit %d: %v, want a conflict", i, err)
 		}
 		if diff := cmp.Diff(&operator.ConflictError{Base: 7, Current: 8, By: f.by, At: noon}, conflict); diff != "" {
 			t.Error(diff)
@@ -136,7 +138,7 @@
 	}
 }
 
-// Guards against errors that the client reports as another outcome, above all an
+// Guards against an error that reaches the caller with another type, above all an
 // edit that may have been stored and is reported as not stored.
 func TestApplyErrors(t *testing.T) {
 	service := catalogue.Service{ID: "s", Shards: 4, Slots: 1, ColdSlots: 1, Fencing: catalogue.FencingChecked, Timeout: time.Second}
@@ -157,12 +159,12 @@
 		{"instance behind", 2, nil, catalogue.Catalogue{}, "ana", &operator.UnavailableError{}, "only up to revision 1"},
 		{"invalid", 1, nil, catalogue.Catalogue{Accounts: []catalogue.Account{account("a b")}}, "ana", &operator.InvalidError{}, `catalogue:4:9: account "a b": id`},
 		{"shards", 1, nil, catalogue.Catalogue{Services: []catalogue.Service{other}}, "ana", &operator.InvalidError{}, "fixed at 4"},
-		{"no name", 1, nil, catalogue.Catalogue{}, "", nil, "want who makes the change"},
+		{"no name", 1, nil, catalogue.Catalogue{}, "", nil, "want the name of the operator who makes the change"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := &fake{cat: &catalogue.Catalogue{Services: []catalogue.Service{service}}, rev: 1, err: tt.err}
-			c, _ := serve(t, f)
+			f := &fakeBackend{cat: &catalogue.Catalogue{Services: []catalogue.Service{service}}, rev: 1, err: tt.err}
+			c, _ := startServer(t, f)
 			_, err := c.Apply(t.Context(), tt.base, &tt.edit, tt.by)
 			if err == nil || !strings.Contains(err.Error(), tt.text) {
 				t.Errorf("error %v, want %q", err, tt.text)
@@ -177,8 +179,9 @@
 	}
 }
 
-// Guards against a lost response that is reported as not stored, and a refused
-// connection that is reported as perhaps stored.
+// Guards against an edit that is reported as not stored although only the response
+// was lost, and one that is reported as possibly stored although the connection
+// was refused.
 func TestApplyTransport(t *testing.T) {
 	s, err := http1.Listen(http1.ServerConfig{Addr: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
@@ -187,55 +190,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	events, err := eventLoops()
+	httpClient, err := sharedHTTPClient()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := operator.NewClient(events, s.Addr(), token)
+	c := operator.NewClient(httpClient, s.Addr(), testToken)
 	var unknown *operator.UnknownError
 	if _, err := c.Apply(t.Context(), 1, &catalogue.Catalogue{}, "ana"); !errors.As(err, &unknown) {
-		t.Errorf("cut response: %v", err)
+		t.Errorf("truncated response: %v", err)
 	}
 	c.Close()
 	s.Close()
 	var unavailable *operator.UnavailableError
-	if _, err := operator.NewClient(events, "127.0.0.1:1", token).Apply(t.Context(), 1, &catalogue.Catalogue{}, "ana"); !errors.As(err, &unavailable) {
+	if _, err := operator.NewClient(httpClient, "127.0.0.1:1", testToken).Apply(t.Context(), 1, &catalogue.Catalogue{}, "ana"); !errors.As(err, &unavailable) {
 		t.Errorf("refused connection: %v", err)
 	}
 }
 
-// Guards against access without the token, and against responses that repeat a
-// wrong one.
+// Guards against access without the token, and against responses that contain the
+// token that was sent.
 func TestAuthentication(t *testing.T) {
-	_, pool := serve(t, &fake{cat: &catalogue.Catalogue{}, rev: 1})
+	_, pool := startServer(t, &fakeBackend{cat: &catalogue.Catalogue{}, rev: 1})
 	for _, tt := range []struct {
 		authorization, target string
 		want                  int
 	}{
-		{"Bearer " + token, "/v1/status", 200},
-		{"bearer " + token, "/v1/status", 200},
+		{"Bearer " + testToken, "/v1/status", 200},
+		{"bearer " + testToken, "/v1/status", 200},
 		{"", "/v1/status", 401},
 		{"Bearer", "/v1/status", 401},
-		{token, "/v1/status", 401},
-		{"Basic " + token, "/v1/status", 401},
-		{"Bearer " + token + "x", "/v1/catalogue", 401},
-		{"Bearer " + token[:5], "/v1/nothing", 401},
-		{"Bearer " + token, "/v1/nothing", 404},
-		{"Bearer " + token, "/v1/in-force?revision=x", 400},
-		{"Bearer " + token, "/v1/explain?kind=key&key=k", 400},
+		{testToken, "/v1/status", 401},
+		{"Basic " + testToken, "/v1/status", 401},
+		{"Bearer " + testToken + "x", "/v1/catalogue", 401},
+		{"Bearer " + testToken[:5], "/v1/nothing", 401},
+		{"Bearer " + testToken, "/v1/nothing", 404},
+		{"Bearer " + testToken, "/v1/in-force?revision=x", 400},
+		{"Bearer " + testToken, "/v1/explain?kind=key&key=k", 400},
 	} {
 		res, err := pool.Do(t.Context(), &http1.Request{Method: "GET", Target: tt.target, Header: http.Header{"Authorization": {tt.authorization}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res.Status != tt.want || strings.Contains(string(res.Body), token[:5]) {
+		if res.Status != tt.want || strings.Contains(string(res.Body), testToken[:5]) {
 			t.Errorf("%q %s: status %d, want %d: %s", tt.authorization, tt.target, res.Status, tt.want, res.Body)
 		}
 	}
-	_, open := serve(t, nil)
-	res, err := open.Do(t.Context(), &http1.Request{Method: "GET", Target: "/v1/status"})
+	_, anonymousPool := startServer(t, nil)
+	res, err := anonymousPool.Do(t.Context(), &http1.Request{Method: "GET", Target: "/v1/status"})
 	if err != nil || res.Status != http.StatusUnauthorized {
-		t.Errorf("no token: %v %v", res, err)
+		t.Errorf("request without a token: %v %v", res, err)
 	}
 	h := operator.Handler(nil, "")
 	s, err := http1.Listen(http1.ServerConfig{Addr: "127.0.0.1:0", Handler: h})
@@ -243,21 +246,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	events, err := eventLoops()
+	httpClient, err := sharedHTTPClient()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := operator.NewClient(events, s.Addr(), "").Status(t.Context()); err == nil {
-		t.Error("an empty token was admitted")
+	if _, err := operator.NewClient(httpClient, s.Addr(), "").Status(t.Context()); err == nil {
+		t.Error("a handler without a token accepted an empty token")
 	}
 }
 
-// Guards against fields that are lost or exchanged on the way to the client.
+// Guards against fields that are lost or mixed up between handler and client.
 func TestRoundTrip(t *testing.T) {
-	f := &fake{
+	f := &fakeBackend{
 		cat: &catalogue.Catalogue{Accounts: []catalogue.Account{account("acme")}}, rev: 1 << 60,
 		progress: []operator.Progress{{Revision: 3, Accepted: noon, Learned: 2, Members: 5, InForce: true, Since: noon.Add(time.Second)}},
-		status:   fullStatus(),
+		status:   unhealthyStatus(),
 		explain: operator.Explanation{
 			Answered: []fleet.InstanceID{"i1"}, Missing: []fleet.InstanceID{"i2"},
 			Owner: &operator.Ownership{
@@ -269,24 +272,24 @@
 			}},
 		},
 	}
-	c, _ := serve(t, f)
+	c, _ := startServer(t, f)
 	cat, rev, err := c.Catalogue(t.Context())
-	check(t, err, f.cat, cat)
-	check(t, err, f.rev, rev)
+	requireEqual(t, err, f.cat, cat)
+	requireEqual(t, err, f.rev, rev)
 	p, err := c.InForce(t.Context(), 3)
-	check(t, err, f.progress[0], p)
+	requireEqual(t, err, f.progress[0], p)
 	s, err := c.Status(t.Context())
-	check(t, err, f.status, s)
+	requireEqual(t, err, f.status, s)
 	for _, q := range []operator.Query{
 		operator.KeyQuery{Service: "s", Key: "a&b=c d/é"}, operator.RequestQuery{ID: "r"}, operator.AccountQuery{ID: "acme"},
 	} {
 		x, err := c.Explain(t.Context(), q)
-		check(t, err, f.explain, x)
-		check(t, err, q, f.query)
+		requireEqual(t, err, f.explain, x)
+		requireEqual(t, err, q, f.query)
 	}
 }
 
-func check(t *testing.T, err error, want, got any) {
+func requireEqual(t *testing.T, err error, want, got any) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +299,7 @@
 	}
 }
 
-func fullStatus() operator.Status {
+func unhealthyStatus() operator.Status {
 	return operator.Status{
 		Instance: "i1", Zone: "a", Boot: "b1", Now: noon, Authority: noon.Add(-time.Second), StoreAnswered: noon.Add(-time.Minute),
 		Catalogue: 4, Assignment: 5, Planner: "i0",
@@ -310,10 +313,11 @@
 	}
 }
 
-// Guards against conditions that raise no alarm, and alarms on a healthy fleet.
+// Guards against a condition that raises no alarm, and against alarms for a healthy
+// fleet.
 func TestAlarms(t *testing.T) {
 	var got []operator.AlarmName
-	for _, a := range fullStatus().Alarms() {
+	for _, a := range unhealthyStatus().Alarms() {
 		got = append(got, a.Name)
 	}
 	want := []operator.AlarmName{
@@ -335,26 +339,26 @@
 	}
 }
 
-// Guards against a wait that ends before the change is in force, or that takes a
-// restart of the instance for an answer.
+// Guards against a wait that ends before the change is in force, that returns no
+// error although no call succeeded, or that loses the last progress.
 func TestWaitInForce(t *testing.T) {
-	in := operator.Progress{Revision: 2, InForce: true}
-	f := &fake{progress: []operator.Progress{{Revision: 2}, {Revision: 2, Learned: 1, Members: 3}, in}}
+	inForce := operator.Progress{Revision: 2, InForce: true}
+	f := &fakeBackend{progress: []operator.Progress{{Revision: 2}, {Revision: 2, Learned: 1, Members: 3}, inForce}}
 	p, err := operator.WaitInForce(t.Context(), f, 2, time.Millisecond)
-	check(t, err, in, p)
+	requireEqual(t, err, inForce, p)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if p, err := operator.WaitInForce(ctx, &fake{}, 2, time.Millisecond); err == nil || p.InForce {
+	if p, err := operator.WaitInForce(ctx, &fakeBackend{}, 2, time.Millisecond); err == nil || p.InForce {
 		t.Errorf("no answer: %v %v", p, err)
 	}
 	ctx, cancel = context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	stuck := operator.Progress{Revision: 2, Learned: 1, Members: 3}
-	p, err = operator.WaitInForce(ctx, &fake{progress: []operator.Progress{stuck}}, 2, time.Millisecond)
-	check(t, err, stuck, p)
+	p, err = operator.WaitInForce(ctx, &fakeBackend{progress: []operator.Progress{stuck}}, 2, time.Millisecond)
+	requireEqual(t, err, stuck, p)
 }
 
-// Guards against responses of a newer version that an older client cannot read.
+// Guards against a client that cannot decode the responses of a newer version.
 func TestUnknownFields(t *testing.T) {
 	var p operator.Progress
 	if err := p.Decode(jx.DecodeStr(`{"later":{"a":[1]},"revision":3}`)); err != nil || p.Revision != 3 {
