--- a/pkg/catalogue/catalogue.go
+++ b/pkg/catalogue/catalogue.go
@@ -1,11 +1,12 @@
-// Package catalogue holds the desired state that operators edit: services,
-// entries, client accounts, caller key hashes and what is out of service.
+// Package catalogue defines the configuration that operators edit: services,
+// entries, client accounts, hashes of caller keys, and the upstreams, instances
+// and availability zones that are out of service.
 //
-// A Catalogue is a plain value without an index. It is stored and edited as
-// YAML with kebab-case names. Parse is strict, because a misspelt field that is
-// silently ignored would put a limit or an access rule out of force. A Catalogue
-// that Check accepts survives Format and Parse unchanged; a Catalogue that Check
-// refuses is never returned by Parse.
+// A Catalogue is a plain value without lookup indexes. It is stored and edited as
+// YAML with kebab-case field names. Parse refuses unknown fields, because a
+// misspelt field that is ignored would disable a limit or an access rule. A
+// Catalogue that Check accepts is unchanged by Format followed by Parse. Parse
+// never returns a Catalogue that Check refuses.
 package catalogue
 
 import (
@@ -14,8 +15,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Catalogue is the desired state. The order of its items has no meaning and is
-// kept. Empty lists are nil.
+// Catalogue is the configuration of the fleet. Parse and Format preserve the order
+// of items, which has no effect. Empty lists are nil.
 type Catalogue struct {
 	Services     []Service
 	Entries      []Entry
@@ -24,40 +25,41 @@
 	OutOfService []Outage
 }
 
-// Service is a group of upstreams that divide routing keys among them.
+// Service is a group of upstreams among which routing keys are divided.
 type Service struct {
 	ID        fleet.ServiceID
-	Shards    int           // fixed for the life of the service; see CheckEdit
+	Shards    int           // number of shards; cannot be changed later, see CheckEdit
 	Slots     fleet.Slots   // concurrent requests that a warm upstream handles
-	ColdSlots fleet.Slots   // concurrent requests that an upstream handles in cold start
-	WarmTime  time.Duration // work in cold start after which an upstream handles Slots
+	ColdSlots fleet.Slots   // concurrent requests that a cold upstream handles
+	WarmTime  time.Duration // work in cold start after which an upstream is warm
 	Fencing   Fencing
-	Timeout   time.Duration // longest deadline of a request
+	Timeout   time.Duration // longest time allowed for a request
 }
 
-// Fencing says whether the upstreams of a service check fencing tokens.
+// Fencing states whether the upstreams of a service check fencing tokens.
 type Fencing string
 
 // Values of Fencing.
 const (
-	FencingChecked Fencing = "checked"
-	FencingNone    Fencing = "none"
+	FencingChecked Fencing = "checked" // upstreams refuse requests with an outdated fencing token
+	FencingNone    Fencing = "none"    // upstreams do not check fencing tokens
 )
 
 // Entry routes the requests below a path prefix to a service.
 type Entry struct {
 	ID         fleet.EntryID
-	Owner      string // contact of those responsible for the entry
+	Owner      string // contact of the people responsible for the entry
 	Service    fleet.ServiceID
 	PathPrefix string
 	Class      Class
-	Limit      fleet.Limit // over all client accounts; zero: no limit
+	Limit      fleet.Limit // for all client accounts together; zero: no limit
 	RoutingKey KeySource
-	Open       bool              // an open route needs no caller key
+	Open       bool              // whether requests need no caller key
 	Accounts   []fleet.AccountID // client accounts that may use the entry; empty: all
 }
 
-// Class says whether a request may run twice without harm.
+// Class states whether executing a request twice has the same effect as executing
+// it once.
 type Class string
 
 // Values of Class.
@@ -66,14 +68,14 @@
 	NonIdempotent Class = "non-idempotent"
 )
 
-// KeySource says where in a request the routing key is found.
+// KeySource is the location of the routing key in a request.
 type KeySource struct {
 	From    KeyFrom
-	Name    string // of the header or the query parameter
-	Segment int    // of the path, counted from 0: in /hall/7 the segment 1 is "7"
+	Name    string // name of the header or query parameter
+	Segment int    // index of the path segment, from 0: segment 1 of /hall/7 is "7"
 }
 
-// KeyFrom is a part of a request.
+// KeyFrom is the part of a request that contains the routing key.
 type KeyFrom string
 
 // Values of KeyFrom.
@@ -86,25 +88,27 @@
 // Account is a client account.
 type Account struct {
 	ID    fleet.AccountID
-	Limit fleet.Limit // over all entries; zero: no limit
+	Limit fleet.Limit // for all entries together; zero: no limit
 }
 
-// CallerKey admits callers that present a secret with this hash to an account.
+// CallerKey authenticates callers that present a caller key with this hash as
+// users of an account.
 type CallerKey struct {
 	Hash    fleet.CallerKeyHash
 	Account fleet.AccountID
 	Note    string // for operators, for example a ticket number
 }
 
-// Outage takes an upstream, an instance or a zone out of service.
+// Outage marks an upstream, an instance or an availability zone as taken out of
+// service by an operator.
 type Outage struct {
 	Kind OutageKind
-	Name string
-	By   string
-	At   time.Time
+	Name string    // id of the upstream, instance or zone
+	By   string    // operator who took it out of service
+	At   time.Time // when it was taken out of service
 }
 
-// OutageKind says what an Outage names.
+// OutageKind is the kind of item that an Outage names.
 type OutageKind string
 
 // Values of OutageKind.
@@ -114,7 +118,7 @@
 	OutageZone     OutageKind = "zone"
 )
 
-// Defaults of fields that a catalogue file leaves out.
+// Defaults of fields that a catalogue file omits.
 const (
 	DefaultShards    = 256
 	DefaultColdSlots = 1
@@ -122,11 +126,12 @@
 	DefaultTimeout   = 10 * time.Second
 )
 
-// MaxSize is the largest formatted catalogue in bytes. The store takes values of
-// 1 MB; base64 in the store's envelope adds a third.
+// MaxSize is the largest size of a formatted catalogue in bytes. The store accepts
+// values of up to 1 MB, and the base64 encoding of stored records adds a third.
 const MaxSize = 700_000
 
-// Out returns the outage of the named item, if it is out of service.
+// Out returns the outage of the item with the given kind and name. The second
+// result reports whether the item is out of service.
 func (c *Catalogue) Out(kind OutageKind, name string) (Outage, bool) {
 	for _, o := range c.OutOfService {
 		if o.Kind == kind && o.Name == name {
@@ -136,7 +141,7 @@
 	return Outage{}, false
 }
 
-// Clone returns a deep copy.
+// Clone returns a deep copy of c.
 func (c *Catalogue) Clone() *Catalogue {
 	out := &Catalogue{
 		Services:     append([]Service(nil), c.Services...),
--- a/pkg/catalogue/catalogue_test.go
+++ b/pkg/catalogue/catalogue_test.go
@@ -15,7 +15,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-const small = `services:
+const smallCatalogue = `services:
   - {id: booking, slots: 6}
 entries:
   - id: book
@@ -29,9 +29,9 @@
 `
 
 func ExampleParse() {
-	c, err := catalogue.Parse("small.yaml", []byte(small))
+	c, err := catalogue.Parse("small.yaml", []byte(smallCatalogue))
 	fmt.Println(c.Services[0].Shards, c.Entries[0].Class, err)
-	_, err = catalogue.Parse("small.yaml", []byte(strings.Replace(small, "owner", "ower", 1)))
+	_, err = catalogue.Parse("small.yaml", []byte(strings.Replace(smallCatalogue, "owner", "ower", 1)))
 	fmt.Println(err)
 	// Output:
 	// 256 non-idempotent <nil>
@@ -40,7 +40,7 @@
 }
 
 func ExampleDiff() {
-	old, _ := catalogue.Parse("", []byte(small))
+	old, _ := catalogue.Parse("", []byte(smallCatalogue))
 	edited := old.Clone()
 	edited.Accounts[0].Limit = fleet.Limit{Rate: 20, Burst: 5}
 	edited.Entries[0].Accounts = []fleet.AccountID{"acme"}
@@ -57,7 +57,7 @@
 }
 
 func ExampleCatalogue_CheckEdit() {
-	old, _ := catalogue.Parse("", []byte(small))
+	old, _ := catalogue.Parse("", []byte(smallCatalogue))
 	edited := old.Clone()
 	edited.Services[0].Shards = 512
 	fmt.Println(edited.CheckEdit(old))
@@ -73,12 +73,13 @@
 	// Output: ana true false
 }
 
-// Guards against errors that are missing, misplaced or reported one at a time:
-// each script lists all its errors in comments.
-func TestScripts(t *testing.T) {
+// Guards against errors that are missing, have a wrong position or are reported one
+// at a time. Each file lists all errors that Parse must return for it in comments
+// that start with "# want: ".
+func TestParseFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scripts:", err)
+		t.Fatal("no files match testdata/*.yaml:", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -110,8 +111,8 @@
 	}
 }
 
-// checkRoundTrip guards against a Format that loses or changes a field, and
-// against a catalogue that Parse accepts and Check refuses.
+// checkRoundTrip fails the test if Format loses or changes a field of c, or if Check
+// refuses c, which Parse has accepted.
 func checkRoundTrip(t *testing.T, c *catalogue.Catalogue) {
 	t.Helper()
 	if err := c.Check(); err != nil {
@@ -129,9 +130,10 @@
 	}
 }
 
-// Guards against field values that the formatted file decodes as another type.
+// Guards against strings that Format writes without quotes and that Parse then
+// reads as another YAML type.
 func TestFormatQuotes(t *testing.T) {
-	c, err := catalogue.Parse("small", []byte(small))
+	c, err := catalogue.Parse("small", []byte(smallCatalogue))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,9 +144,9 @@
 	}
 }
 
-// Guards against a clone that shares memory with its original.
+// Guards against a clone that shares memory with the original.
 func TestClone(t *testing.T) {
-	c, err := catalogue.Parse("small", []byte(strings.Replace(small, "class:", "accounts: [acme]\n    class:", 1)))
+	c, err := catalogue.Parse("small", []byte(strings.Replace(smallCatalogue, "class:", "accounts: [acme]\n    class:", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +158,8 @@
 	}
 }
 
-// Guards against a catalogue that the store refuses for its size.
+// Guards against a catalogue that is accepted although it is too large for the
+// store.
 func TestSize(t *testing.T) {
 	c := &catalogue.Catalogue{}
 	for i := range 20_000 {
@@ -169,8 +172,8 @@
 	}
 }
 
-// FuzzParse guards against crashes, errors without a position, and accepted
-// catalogues that do not survive Format.
+// FuzzParse guards against panics, errors without a position, and accepted
+// catalogues that Format followed by Parse changes.
 func FuzzParse(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.yaml")
 	for _, file := range files {
--- a/pkg/catalogue/check.go
+++ b/pkg/catalogue/check.go
@@ -18,33 +18,36 @@
 
 // Bounds of fields.
 const (
-	maxID       = 128
-	maxText     = 256
+	maxID       = 128 // bytes
+	maxText     = 256 // bytes
 	maxShards   = 65536
 	maxSlots    = 1_000_000
 	maxTimeout  = 10 * time.Minute
-	maxRate     = 1e9
+	maxRate     = 1e9 // requests per second; also the largest burst in requests
 	maxSegment  = 64
-	minRate     = 1e-6
-	maxAccounts = 10_000
+	minRate     = 1e-6   // requests per second
+	maxAccounts = 10_000 // of one entry
 
-	// segmentMissing marks a path-segment source without a segment.
+	// segmentMissing is the Segment of a KeySource of kind path-segment whose segment
+	// is not given in the file.
 	segmentMissing = -1
 )
 
-// problem is a fault found by check; path locates it as in decoder.at.
+// problem is an error found by check. Its path is a key of decoder.nodes.
 type problem struct {
 	path, item, field, text string
 }
 
-// checker collects problems. Its current item is set by item.
+// checker collects problems. The fields list, kind, name and index describe the
+// item that is being checked.
 type checker struct {
 	problems         []problem
 	list, kind, name string
 	index            int
 }
 
-// Check returns every fault as an Errors, or nil.
+// Check validates c. It returns an Errors with every error found, or nil. The
+// errors have no position in a file.
 func (c *Catalogue) Check() error {
 	var errs Errors
 	for _, p := range c.check() {
@@ -55,12 +58,12 @@
 			errs = Errors{{Problem: fmt.Sprintf("the catalogue has %d bytes, at most %d are allowed", n, MaxSize)}}
 		}
 	}
-	return errs.orNil()
+	return errs.errOrNil()
 }
 
-// CheckEdit returns the faults of an edit from old to c, other than those that
-// Check returns. The shard count of a service must not change: the owner of a
-// routing key follows from it.
+// CheckEdit returns an Errors with the errors of the change from old to c that
+// Check cannot find, or nil. The number of shards of a service must not change,
+// because it determines the shard, and so the owner, of a routing key.
 func (c *Catalogue) CheckEdit(old *Catalogue) error {
 	var errs Errors
 	for _, s := range c.Services {
@@ -72,15 +75,18 @@
 			})
 		}
 	}
-	return errs.orNil()
+	return errs.errOrNil()
 }
 
+// itemName returns the name of an item in error messages: its kind and name, or
+// its kind and number in the list if it has no name.
 func itemName(kind, name string, index int) string {
 	if name == "" {
 		return fmt.Sprintf("%s number %d", kind, index+1)
 	}
 	if kind == "caller key" {
-		// Long enough to tell hashes apart; a caller key put here by mistake stays hidden.
+		// 12 digits distinguish hashes. Text that is no hash is not repeated, because it
+		// may be a caller key.
 		if _, ok := parseHash(name); !ok {
 			return fmt.Sprintf("%s number %d", kind, index+1)
 		}
@@ -89,8 +95,8 @@
 	return fmt.Sprintf("%s %q", kind, name)
 }
 
-// parseHash checks the length first, because fleet.ParseCallerKeyHash panics on
-// longer text.
+// parseHash parses the hexadecimal form of a hash. It checks the length before
+// decoding, because hex.Decode panics on text that is longer than the hash.
 func parseHash(s string) (fleet.CallerKeyHash, bool) {
 	if len(s) != hex.EncodedLen(sha256.Size) {
 		return fleet.CallerKeyHash{}, false
@@ -117,15 +123,18 @@
 	return k.problems
 }
 
-func (k *checker) item(list, kind, name string, i int) {
+func (k *checker) setItem(list, kind, name string, i int) {
 	k.list, k.kind, k.name, k.index = list, kind, name, i
 }
 
-func (k *checker) fail(field, format string, args ...any) {
-	k.failAt("/"+strings.ReplaceAll(field, ".", "/"), field, format, args...)
+// report adds a problem with a field of the current item. The field may be nested,
+// as in "routing-key.name".
+func (k *checker) report(field, format string, args ...any) {
+	k.reportAt("/"+strings.ReplaceAll(field, ".", "/"), field, format, args...)
 }
 
-func (k *checker) failAt(path, field, format string, args ...any) {
+// reportAt adds a problem with the value at path within the current item.
+func (k *checker) reportAt(path, field, format string, args ...any) {
 	k.problems = append(k.problems, problem{
 		path: "/" + k.list + "/" + strconv.Itoa(k.index) + path,
 		item: itemName(k.kind, k.name, k.index), field: field, text: fmt.Sprintf(format, args...),
@@ -135,20 +144,20 @@
 func (k *checker) services(in []Service) {
 	seen := make(map[fleet.ServiceID]bool)
 	for i, s := range in {
-		k.item(listServices, "service", string(s.ID), i)
+		k.setItem(listServices, "service", string(s.ID), i)
 		k.id("id", string(s.ID), seen[s.ID])
 		seen[s.ID] = true
-		k.between("shards", int64(s.Shards), 1, maxShards)
-		k.between("slots", int64(s.Slots), 1, maxSlots)
+		k.inRange("shards", int64(s.Shards), 1, maxShards)
+		k.inRange("slots", int64(s.Slots), 1, maxSlots)
 		if s.Slots >= 1 && (s.ColdSlots < 1 || s.ColdSlots > s.Slots) {
-			k.fail("cold-slots", "%d: want 1 to the number of slots, %d", s.ColdSlots, s.Slots)
+			k.report("cold-slots", "%d: want 1 to the number of slots, %d", s.ColdSlots, s.Slots)
 		}
 		if s.WarmTime < 0 || s.WarmTime > maxTimeout {
-			k.fail("warm-time", "%s: want 0s to %s", s.WarmTime, maxTimeout)
+			k.report("warm-time", "%s: want 0s to %s", s.WarmTime, maxTimeout)
 		}
 		oneOf(k, "fencing", s.Fencing, FencingChecked, FencingNone)
 		if s.Timeout < time.Millisecond || s.Timeout > maxTimeout {
-			k.fail("timeout", "%s: want 1ms to %s", s.Timeout, maxTimeout)
+			k.report("timeout", "%s: want 1ms to %s", s.Timeout, maxTimeout)
 		}
 	}
 }
@@ -157,16 +166,16 @@
 	seen := make(map[fleet.EntryID]bool)
 	prefixes := make(map[string]fleet.EntryID)
 	for i, e := range in {
-		k.item(listEntries, "entry", string(e.ID), i)
+		k.setItem(listEntries, "entry", string(e.ID), i)
 		k.id("id", string(e.ID), seen[e.ID])
 		seen[e.ID] = true
-		k.text("owner", e.Owner, true)
+		k.printableText("owner", e.Owner, true)
 		if k.required("service", string(e.Service)) && !services[e.Service] {
-			k.fail("service", "%q: there is no such service", e.Service)
+			k.report("service", "%q: there is no such service", e.Service)
 		}
 		k.pathPrefix(e.PathPrefix)
 		if other, dup := prefixes[e.PathPrefix]; dup && e.PathPrefix != "" {
-			k.fail("path-prefix", "%q: entry %q has the same", e.PathPrefix, other)
+			k.report("path-prefix", "%q: already used by entry %q", e.PathPrefix, other)
 		}
 		prefixes[e.PathPrefix] = e.ID
 		oneOf(k, "class", e.Class, Idempotent, NonIdempotent)
@@ -178,19 +187,19 @@
 
 func (k *checker) entryAccounts(e Entry, accounts map[fleet.AccountID]bool) {
 	if e.Open && len(e.Accounts) > 0 {
-		k.fail("accounts", "an open route cannot be restricted to client accounts")
+		k.report("accounts", "an open entry cannot be restricted to client accounts")
 	}
 	if len(e.Accounts) > maxAccounts {
-		k.fail("accounts", "%d accounts: want at most %d", len(e.Accounts), maxAccounts)
+		k.report("accounts", "%d accounts: want at most %d", len(e.Accounts), maxAccounts)
 	}
 	seen := make(map[fleet.AccountID]bool)
 	for i, a := range e.Accounts {
 		path := "/accounts/" + strconv.Itoa(i)
 		switch {
 		case !accounts[a]:
-			k.failAt(path, "accounts", "%q: there is no such account", a)
+			k.reportAt(path, "accounts", "%q: there is no such account", a)
 		case seen[a]:
-			k.failAt(path, "accounts", "%q: listed twice", a)
+			k.reportAt(path, "accounts", "%q: listed twice", a)
 		}
 		seen[a] = true
 	}
@@ -199,7 +208,7 @@
 func (k *checker) accounts(in []Account) {
 	seen := make(map[fleet.AccountID]bool)
 	for i, a := range in {
-		k.item(listAccounts, "account", string(a.ID), i)
+		k.setItem(listAccounts, "account", string(a.ID), i)
 		k.id("id", string(a.ID), seen[a.ID])
 		seen[a.ID] = true
 		k.limit(a.Limit)
@@ -209,18 +218,18 @@
 func (k *checker) callerKeys(in []CallerKey, accounts map[fleet.AccountID]bool) {
 	seen := make(map[fleet.CallerKeyHash]bool)
 	for i, c := range in {
-		k.item(listCallerKeys, "caller key", c.Hash.String(), i)
+		k.setItem(listCallerKeys, "caller key", c.Hash.String(), i)
 		switch {
 		case c.Hash == fleet.CallerKeyHash{}:
-			k.fail("hash", "is required")
+			k.report("hash", "is required")
 		case seen[c.Hash]:
-			k.fail("hash", "listed twice")
+			k.report("hash", "listed twice")
 		}
 		seen[c.Hash] = true
 		if k.required("account", string(c.Account)) && !accounts[c.Account] {
-			k.fail("account", "%q: there is no such account", c.Account)
+			k.report("account", "%q: there is no such account", c.Account)
 		}
-		k.text("note", c.Note, false)
+		k.printableText("note", c.Note, false)
 	}
 }
 
@@ -231,51 +240,52 @@
 	}
 	seen := make(map[id]bool)
 	for i, o := range in {
-		k.item(listOutOfService, "outage", o.Name, i)
+		k.setItem(listOutOfService, "outage", o.Name, i)
 		oneOf(k, "kind", o.Kind, OutageUpstream, OutageInstance, OutageZone)
 		k.id("name", o.Name, seen[id{o.Kind, o.Name}])
 		seen[id{o.Kind, o.Name}] = true
-		k.text("by", o.By, true)
+		k.printableText("by", o.By, true)
 		if o.At.IsZero() {
-			k.fail("at", "is required")
+			k.report("at", "is required")
 		} else if y := o.At.UTC().Year(); y < 1970 || y > 9999 {
-			k.fail("at", "year %d: want 1970 to 9999", y)
+			k.report("at", "year %d: want 1970 to 9999", y)
 		}
 	}
 }
 
 func (k *checker) required(field, v string) bool {
 	if v == "" {
-		k.fail(field, "is required")
+		k.report(field, "is required")
 	}
 	return v != ""
 }
 
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:@-]*$`)
 
+// id checks an id or name; dup states whether an earlier item has the same one.
 func (k *checker) id(field, v string, dup bool) {
 	switch {
 	case !k.required(field, v):
 	case len(v) > maxID || !idPattern.MatchString(v):
-		k.fail(field, "%q: want a letter or digit, then letters, digits or any of . _ : @ -, at most %d bytes", v, maxID)
+		k.report(field, "%q: want a letter or digit, then letters, digits or any of . _ : @ -, at most %d bytes", v, maxID)
 	case dup:
-		k.fail(field, "%q: listed twice", v)
+		k.report(field, "%q: listed twice", v)
 	}
 }
 
-func (k *checker) text(field, v string, required bool) {
+func (k *checker) printableText(field, v string, required bool) {
 	if required && !k.required(field, v) {
 		return
 	}
 	printable := func(r rune) bool { return unicode.IsPrint(r) && r != utf8.RuneError }
 	if len(v) > maxText || !utf8.ValidString(v) || v != strings.TrimSpace(v) || strings.ContainsFunc(v, func(r rune) bool { return !printable(r) }) {
-		k.fail(field, "%q: want printable characters without spaces at either end, at most %d bytes", v, maxText)
+		k.report(field, "%q: want printable characters without spaces at either end, at most %d bytes", v, maxText)
 	}
 }
 
-func (k *checker) between(field string, v, lo, hi int64) {
+func (k *checker) inRange(field string, v, lo, hi int64) {
 	if v < lo || v > hi {
-		k.fail(field, "%d: want %d to %d", v, lo, hi)
+		k.report(field, "%d: want %d to %d", v, lo, hi)
 	}
 }
 
@@ -285,7 +295,7 @@
 		for i, a := range allowed {
 			names[i] = string(a)
 		}
-		k.fail(field, "%q: want %s", v, strings.Join(names, " or "))
+		k.report(field, "%q: want %s", v, strings.Join(names, " or "))
 	}
 }
 
@@ -294,52 +304,53 @@
 		return
 	}
 	if r := float64(l.Rate); math.IsNaN(r) || r < minRate || r > maxRate {
-		k.fail("rate", "%v: want %v to %v requests per second, or neither rate nor burst for no limit", r, minRate, maxRate)
+		k.report("rate", "%v: want %v to %v requests per second, or neither rate nor burst for no limit", r, minRate, maxRate)
 	}
 	if l.Burst < 1 || l.Burst > maxRate {
-		k.fail("burst", "%d: want 1 to %d requests, or neither rate nor burst for no limit", l.Burst, int64(maxRate))
+		k.report("burst", "%d: want 1 to %d requests, or neither rate nor burst for no limit", l.Burst, int64(maxRate))
 	}
 }
 
 var pathPattern = regexp.MustCompile(`^/[A-Za-z0-9._~!$&'()*+,;=:@/-]*$`)
 
-// pathPrefix refuses prefixes that no normalised request path starts with.
+// pathPrefix refuses prefixes that no normalised request path starts with, and
+// those that are reserved for the router.
 func (k *checker) pathPrefix(v string) {
 	if !k.required("path-prefix", v) {
 		return
 	}
-	bad := len(v) > maxText || !pathPattern.MatchString(v) || strings.Contains(v, "//")
+	invalid := len(v) > maxText || !pathPattern.MatchString(v) || strings.Contains(v, "//")
 	for _, s := range strings.Split(v, "/") {
-		bad = bad || s == "." || s == ".."
+		invalid = invalid || s == "." || s == ".."
 	}
 	switch {
-	case bad:
-		k.fail("path-prefix", "%q: want / and path characters without escapes, empty segments or dots, at most %d bytes", v, maxText)
+	case invalid:
+		k.report("path-prefix", "%q: want / and path characters without escapes, empty segments or dots, at most %d bytes", v, maxText)
 	case v == "/-" || strings.HasPrefix(v, "/-/"):
-		k.fail("path-prefix", "%q: paths below /-/ belong to the router", v)
+		k.report("path-prefix", "%q: paths below /-/ belong to the router", v)
 	}
 }
 
-var tokenPattern = regexp.MustCompile("^[A-Za-z0-9!#$%&'*+.^_`|~-]+$")
+var headerNamePattern = regexp.MustCompile("^[A-Za-z0-9!#$%&'*+.^_`|~-]+$")
 
-// keySource refuses sources that hold the caller key: routing keys are sent to
-// upstreams and written to logs.
+// keySource checks the source of a routing key. A source that contains the caller
+// key is refused, because routing keys are sent to upstreams and written to logs.
 func (k *checker) keySource(s KeySource) {
 	const field = "routing-key"
 	switch s.From {
 	case FromPathSegment:
 		if s.Segment == segmentMissing {
-			k.fail(field+".segment", "is required")
+			k.report(field+".segment", "is required")
 		} else {
-			k.between(field+".segment", int64(s.Segment), 0, maxSegment)
+			k.inRange(field+".segment", int64(s.Segment), 0, maxSegment)
 		}
 		if s.Name != "" {
-			k.fail(field+".name", "%q: not allowed with from: path-segment", s.Name)
+			k.report(field+".name", "%q: not allowed with from: path-segment", s.Name)
 		}
 	case FromHeader, FromQuery:
 		k.keyName(field+".name", s)
 		if s.Segment != 0 {
-			k.fail(field+".segment", "%d: only allowed with from: path-segment", s.Segment)
+			k.report(field+".segment", "%d: only allowed with from: path-segment", s.Segment)
 		}
 	default:
 		oneOf(k, field+".from", s.From, FromHeader, FromQuery, FromPathSegment)
@@ -351,14 +362,14 @@
 		return
 	}
 	lower := strings.ToLower(s.Name)
-	secret := s.From == FromQuery && lower == "api-key" ||
+	holdsCallerKey := s.From == FromQuery && lower == "api-key" ||
 		s.From == FromHeader && slices.Contains([]string{"authorization", "proxy-authorization", "x-api-key", "cookie"}, lower)
 	switch {
-	case len(s.Name) > maxID || !tokenPattern.MatchString(s.Name):
-		k.fail(field, "%q: want the characters of a header name, at most %d bytes", s.Name, maxID)
-	case secret:
-		k.fail(field, "%q: holds the caller key, which must not reach upstreams", s.Name)
+	case len(s.Name) > maxID || !headerNamePattern.MatchString(s.Name):
+		k.report(field, "%q: want the characters of a header name, at most %d bytes", s.Name, maxID)
+	case holdsCallerKey:
+		k.report(field, "%q: holds the caller key, which must not reach upstreams", s.Name)
 	case s.From == FromHeader && strings.HasPrefix(lower, "parsley-"):
-		k.fail(field, "%q: header names with Parsley- belong to the router", s.Name)
+		k.report(field, "%q: header names with Parsley- belong to the router", s.Name)
 	}
 }
--- a/pkg/catalogue/diff.go
+++ b/pkg/catalogue/diff.go
@@ -7,7 +7,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Action says what happens to an item.
+// Action is the kind of a Change.
 type Action string
 
 // Values of Action.
@@ -17,21 +17,23 @@
 	Changed Action = "changed"
 )
 
-// Change is what happens to one item.
+// Change is the difference of one item between two catalogues.
 type Change struct {
 	Action Action
-	Kind   string // service, entry, account, caller key or outage
-	Name   string // for a caller key the hash, for an outage kind and name
-	Fields []FieldChange
+	Kind   string        // service, entry, account, caller key or outage
+	Name   string        // id; the hash of a caller key; the kind and name of an outage
+	Fields []FieldChange // without the fields that form Name
 }
 
-// FieldChange is the change of one field; an absent field is empty.
+// FieldChange is the old and new value of one field. The value of an absent field
+// is empty.
 type FieldChange struct {
 	Field    string
 	Old, New string
 }
 
-// String returns one line such as `changed entry hall: rate 10 -> 20`.
+// String returns the change on one line, for example
+// `changed entry hall: rate 10 -> 20`.
 func (c Change) String() string {
 	s := fmt.Sprintf("%s %s %s", c.Action, c.Kind, c.Name)
 	if len(c.Fields) == 0 {
@@ -56,8 +58,9 @@
 	return s
 }
 
-// Diff returns the changes from old to updated, lists in the order of the file and
-// in each list removals first. The order of items makes no difference.
+// Diff returns the changes from old to updated, in the order of the lists in a
+// formatted catalogue, and in each list removals first. A different order of items
+// is no change.
 func Diff(old, updated *Catalogue) []Change {
 	var out []Change
 	oldLists := old.lists()
@@ -69,15 +72,15 @@
 
 func diffItems(old, updated []item) []Change {
 	var out []Change
-	was, is := byName(old), byName(updated)
+	oldByName, updatedByName := itemsByName(old), itemsByName(updated)
 	for _, it := range old {
-		if _, ok := is[it.name]; !ok {
+		if _, ok := updatedByName[it.name]; !ok {
 			out = append(out, Change{Removed, it.kind, it.name, diffFields(it.fields, nil)})
 		}
 	}
 	for _, it := range updated {
-		before, ok := was[it.name]
-		fields := diffFields(before.fields, it.fields)
+		oldItem, ok := oldByName[it.name]
+		fields := diffFields(oldItem.fields, it.fields)
 		switch {
 		case !ok:
 			out = append(out, Change{Added, it.kind, it.name, fields})
@@ -88,7 +91,7 @@
 	return out
 }
 
-func byName(in []item) map[string]item {
+func itemsByName(in []item) map[string]item {
 	out := make(map[string]item, len(in))
 	for _, it := range in {
 		out[it.name] = it
@@ -96,32 +99,32 @@
 	return out
 }
 
-// diffFields compares in the order of the file. The fields that make up the name
-// of an item are left out.
+// diffFields returns the fields that differ, in the order of the file. It omits the
+// fields that form the name of an item.
 func diffFields(old, updated []field) []FieldChange {
-	was, is := make(map[string]string), make(map[string]string)
+	oldValues, updatedValues := make(map[string]string), make(map[string]string)
 	var order []string
 	for _, f := range old {
-		was[f.name] = plain(f.node)
+		oldValues[f.name] = inlineValue(f.node)
 		order = append(order, f.name)
 	}
 	for _, f := range updated {
-		is[f.name] = plain(f.node)
-		if _, ok := was[f.name]; !ok {
+		updatedValues[f.name] = inlineValue(f.node)
+		if _, ok := oldValues[f.name]; !ok {
 			order = append(order, f.name)
 		}
 	}
 	var out []FieldChange
 	for _, name := range order {
-		if was[name] != is[name] && name != "id" && name != "hash" && name != "kind" && name != "name" {
-			out = append(out, FieldChange{name, was[name], is[name]})
+		if oldValues[name] != updatedValues[name] && name != "id" && name != "hash" && name != "kind" && name != "name" {
+			out = append(out, FieldChange{name, oldValues[name], updatedValues[name]})
 		}
 	}
 	return out
 }
 
-// plain returns the text of a value on one line.
-func plain(n *yaml.Node) string {
+// inlineValue returns the value of a node on one line.
+func inlineValue(n *yaml.Node) string {
 	if n.Kind == yaml.ScalarNode {
 		return n.Value
 	}
@@ -130,7 +133,7 @@
 		if n.Kind == yaml.MappingNode && i%2 == 0 {
 			continue
 		}
-		parts = append(parts, plain(c))
+		parts = append(parts, inlineValue(c))
 	}
 	if n.Kind == yaml.MappingNode {
 		return strings.Join(parts, " ")
--- a/pkg/catalogue/format.go
+++ b/pkg/catalogue/format.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Names of the lists, in the order of the file.
+// Names of the top-level lists, in the order in which Format writes them.
 const (
 	listServices     = "services"
 	listEntries      = "entries"
@@ -19,21 +19,22 @@
 	listOutOfService = "out-of-service"
 )
 
-// field is one field of an item as it is written and compared.
+// field is one field of an item as Format writes it and Diff compares it.
 type field struct {
 	name string
 	node *yaml.Node
 }
 
-// item is one element of a list.
+// item is one element of a top-level list.
 type item struct {
 	kind   string // for example "entry"
 	name   string // unique within the list
 	fields []field
 }
 
-// Format returns the catalogue as YAML. Fields that equal a default are written
-// too, so that a later change of a default changes no stored catalogue.
+// Format returns the catalogue as YAML that Parse accepts if Check does. It writes
+// fields even if they equal their default, so that a change of a default in a later
+// version does not affect stored catalogues.
 func (c *Catalogue) Format() []byte {
 	root := &yaml.Node{Kind: yaml.MappingNode}
 	for _, l := range c.lists() {
@@ -42,9 +43,9 @@
 			list.Style = yaml.FlowStyle
 		}
 		for _, it := range l.items {
-			list.Content = append(list.Content, mapping(it.fields))
+			list.Content = append(list.Content, mappingNode(it.fields))
 		}
-		root.Content = append(root.Content, str(l.name), list)
+		root.Content = append(root.Content, stringNode(l.name), list)
 	}
 	var buf bytes.Buffer
 	enc := yaml.NewEncoder(&buf)
@@ -80,23 +81,23 @@
 
 func (s Service) item() item {
 	return item{"service", string(s.ID), []field{
-		{"id", str(string(s.ID))},
-		{"shards", integer(int64(s.Shards))},
-		{"slots", integer(int64(s.Slots))},
-		{"cold-slots", integer(int64(s.ColdSlots))},
-		{"warm-time", str(s.WarmTime.String())},
-		{"fencing", str(string(s.Fencing))},
-		{"timeout", str(s.Timeout.String())},
+		{"id", stringNode(string(s.ID))},
+		{"shards", integerNode(int64(s.Shards))},
+		{"slots", integerNode(int64(s.Slots))},
+		{"cold-slots", integerNode(int64(s.ColdSlots))},
+		{"warm-time", stringNode(s.WarmTime.String())},
+		{"fencing", stringNode(string(s.Fencing))},
+		{"timeout", stringNode(s.Timeout.String())},
 	}}
 }
 
 func (e Entry) item() item {
 	fields := []field{
-		{"id", str(string(e.ID))},
-		{"owner", str(e.Owner)},
-		{"service", str(string(e.Service))},
-		{"path-prefix", str(e.PathPrefix)},
-		{"class", str(string(e.Class))},
+		{"id", stringNode(string(e.ID))},
+		{"owner", stringNode(e.Owner)},
+		{"service", stringNode(string(e.Service))},
+		{"path-prefix", stringNode(e.PathPrefix)},
+		{"class", stringNode(string(e.Class))},
 	}
 	fields = append(fields, limitFields(e.Limit)...)
 	fields = append(fields, field{"routing-key", e.RoutingKey.node()})
@@ -106,7 +107,7 @@
 	if len(e.Accounts) > 0 {
 		accounts := &yaml.Node{Kind: yaml.SequenceNode, Style: yaml.FlowStyle}
 		for _, a := range e.Accounts {
-			accounts.Content = append(accounts.Content, str(string(a)))
+			accounts.Content = append(accounts.Content, stringNode(string(a)))
 		}
 		fields = append(fields, field{"accounts", accounts})
 	}
@@ -114,36 +115,36 @@
 }
 
 func (k KeySource) node() *yaml.Node {
-	fields := []field{{"from", str(string(k.From))}}
+	fields := []field{{"from", stringNode(string(k.From))}}
 	if k.From == FromPathSegment {
-		fields = append(fields, field{"segment", integer(int64(k.Segment))})
+		fields = append(fields, field{"segment", integerNode(int64(k.Segment))})
 	} else {
-		fields = append(fields, field{"name", str(k.Name)})
+		fields = append(fields, field{"name", stringNode(k.Name)})
 	}
-	n := mapping(fields)
+	n := mappingNode(fields)
 	n.Style = yaml.FlowStyle
 	return n
 }
 
 func (a Account) item() item {
-	fields := []field{{"id", str(string(a.ID))}}
+	fields := []field{{"id", stringNode(string(a.ID))}}
 	return item{"account", string(a.ID), append(fields, limitFields(a.Limit)...)}
 }
 
 func (k CallerKey) item() item {
-	fields := []field{{"hash", str(k.Hash.String())}, {"account", str(string(k.Account))}}
+	fields := []field{{"hash", stringNode(k.Hash.String())}, {"account", stringNode(string(k.Account))}}
 	if k.Note != "" {
-		fields = append(fields, field{"note", str(k.Note)})
+		fields = append(fields, field{"note", stringNode(k.Note)})
 	}
 	return item{"caller key", k.Hash.String(), fields}
 }
 
 func (o Outage) item() item {
 	return item{"outage", string(o.Kind) + " " + o.Name, []field{
-		{"kind", str(string(o.Kind))},
-		{"name", str(o.Name)},
-		{"by", str(o.By)},
-		{"at", str(o.At.Format(time.RFC3339Nano))},
+		{"kind", stringNode(string(o.Kind))},
+		{"name", stringNode(o.Name)},
+		{"by", stringNode(o.By)},
+		{"at", stringNode(o.At.Format(time.RFC3339Nano))},
 	}}
 }
 
@@ -154,24 +155,24 @@
 	rate := strconv.FormatFloat(float64(l.Rate), 'f', -1, 64)
 	return []field{
 		{"rate", &yaml.Node{Kind: yaml.ScalarNode, Value: rate}},
-		{"burst", integer(int64(l.Burst))},
+		{"burst", integerNode(int64(l.Burst))},
 	}
 }
 
-func mapping(fields []field) *yaml.Node {
+func mappingNode(fields []field) *yaml.Node {
 	n := &yaml.Node{Kind: yaml.MappingNode}
 	for _, f := range fields {
-		n.Content = append(n.Content, str(f.name), f.node)
+		n.Content = append(n.Content, stringNode(f.name), f.node)
 	}
 	return n
 }
 
-func str(s string) *yaml.Node {
+func stringNode(s string) *yaml.Node {
 	n := &yaml.Node{}
 	n.SetString(s)
 	return n
 }
 
-func integer(v int64) *yaml.Node {
+func integerNode(v int64) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!int", Value: strconv.FormatInt(v, 10)}
 }
--- a/pkg/catalogue/parse.go
+++ b/pkg/catalogue/parse.go
@@ -18,14 +18,15 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// FieldError is one fault of a catalogue. File, Line and Column are empty if the
-// catalogue did not come from a file.
+// FieldError is one error in a catalogue. File, Line and Column are zero if the
+// catalogue was not parsed from a file; Line and Column are also zero for a file
+// that is too large.
 type FieldError struct {
 	File         string
-	Line, Column int
+	Line, Column int    // counted from 1
 	Item         string // for example `entry "hall"`; empty outside of items
 	Field        string // for example "routing-key.name"; empty for a whole item
-	Problem      string
+	Problem      string // what is wrong or what was expected
 }
 
 // Error returns "file:line:column: item: field: problem" without the empty parts.
@@ -46,10 +47,10 @@
 	return strings.Join(parts, ": ")
 }
 
-// Errors holds every fault of a catalogue, in the order of the file.
+// Errors holds every error found in a catalogue, in the order of the file.
 type Errors []*FieldError
 
-// Error returns one line per fault.
+// Error returns the errors, one per line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, f := range e {
@@ -58,15 +59,16 @@
 	return strings.Join(lines, "\n")
 }
 
-func (e Errors) orNil() error {
+func (e Errors) errOrNil() error {
 	if len(e) == 0 {
 		return nil
 	}
 	return e
 }
 
-// Parse reads a catalogue. The error is an Errors with every fault that was
-// found, including those that Check finds; file is used in its positions.
+// Parse parses and checks a catalogue in YAML and sets defaults. The error is an
+// Errors with every error found, including those that Check finds. The name file is
+// used in error messages only. Data of more than MaxSize bytes is refused.
 func Parse(file string, data []byte) (*Catalogue, error) {
 	if len(data) > MaxSize {
 		return nil, Errors{{File: file, Problem: fmt.Sprintf("%d bytes, at most %d are allowed", len(data), MaxSize)}}
@@ -79,34 +81,35 @@
 		}
 		return nil, Errors{syntaxError(file, err)}
 	}
-	d := &decoder{file: file, at: make(map[string]*yaml.Node), items: make(map[string]string), failed: make(map[string]bool)}
+	d := &decoder{file: file, nodes: make(map[string]*yaml.Node), itemNames: make(map[string]string), undecoded: make(map[string]bool)}
 	var second yaml.Node
 	if err := dec.Decode(&second); err == nil {
-		d.report(place{}, &second, "a second document; only one is allowed")
+		d.report(location{}, &second, "a second document; only one is allowed")
 	} else if !errors.Is(err, io.EOF) {
 		return nil, Errors{syntaxError(file, err)}
 	}
 	c := d.catalogue(doc.Content[0])
 	for _, p := range c.check() {
-		if !d.hasFailed(p.path) {
-			d.failAt(p)
+		if !d.isUndecoded(p.path) {
+			d.reportProblem(p)
 		}
 	}
 	slices.SortStableFunc(d.errs, func(a, b *FieldError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	if err := d.errs.orNil(); err != nil {
+	if err := d.errs.errOrNil(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-var yamlLine = regexp.MustCompile(`^yaml: (?:line (\d+): )?(.*)$`)
+var yamlErrorPattern = regexp.MustCompile(`^yaml: (?:line (\d+): )?(.*)$`)
 
-// syntaxError turns "yaml: line 3: problem" into a position. The library reports
-// no column for syntax errors.
+// syntaxError converts an error of the yaml library, such as
+// "yaml: line 3: problem", to a FieldError. The library reports no column for
+// syntax errors, so the column is 1.
 func syntaxError(file string, err error) *FieldError {
-	m := yamlLine.FindStringSubmatch(strings.ReplaceAll(err.Error(), "\n", " "))
+	m := yamlErrorPattern.FindStringSubmatch(strings.ReplaceAll(err.Error(), "\n", " "))
 	if m == nil {
 		return &FieldError{File: file, Line: 1, Column: 1, Problem: err.Error()}
 	}
@@ -114,13 +117,14 @@
 	return &FieldError{File: file, Line: max(line, 1), Column: 1, Problem: m[2]}
 }
 
-// place is where the decoder is: path identifies a value for Check's problems,
-// item and field name it for people.
-type place struct {
+// location identifies the value that is being decoded. The path, for example
+// /entries/0/owner, relates the problems that check finds to YAML nodes; item and
+// field name the value in error messages.
+type location struct {
 	path, item, field string
 }
 
-func (p place) sub(name string) place {
+func (p location) child(name string) location {
 	p.path += "/" + name
 	if p.field != "" {
 		p.field += "."
@@ -129,101 +133,104 @@
 	return p
 }
 
+// decoder decodes a YAML document and collects its errors.
 type decoder struct {
-	file   string
-	errs   Errors
-	at     map[string]*yaml.Node // by path
-	items  map[string]string     // names of items by path
-	failed map[string]bool       // by path: the value was not decoded
+	file      string
+	errs      Errors
+	nodes     map[string]*yaml.Node // by path
+	itemNames map[string]string     // names of items in error messages, by path
+	undecoded map[string]bool       // paths of values that could not be decoded
 }
 
-// fail reports a value that was not decoded. Check's problems with it are left
-// out, since they would only repeat the fault.
-func (d *decoder) fail(p place, n *yaml.Node, format string, args ...any) {
-	d.failed[p.path] = true
+// fail reports a value that could not be decoded. Parse then omits the problems
+// that check finds in it, since they only follow from this error.
+func (d *decoder) fail(p location, n *yaml.Node, format string, args ...any) {
+	d.undecoded[p.path] = true
 	d.report(p, n, format, args...)
 }
 
-func (d *decoder) hasFailed(path string) bool {
+// isUndecoded reports whether the value at path or one that contains it could not
+// be decoded.
+func (d *decoder) isUndecoded(path string) bool {
 	for path != "" {
-		if d.failed[path] {
+		if d.undecoded[path] {
 			return true
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 	return false
 }
 
-func parent(path string) string {
+func parentPath(path string) string {
 	return path[:max(strings.LastIndexByte(path, '/'), 0)]
 }
 
-func (d *decoder) report(p place, n *yaml.Node, format string, args ...any) {
+func (d *decoder) report(p location, n *yaml.Node, format string, args ...any) {
 	d.errs = append(d.errs, &FieldError{
 		File: d.file, Line: n.Line, Column: n.Column,
 		Item: p.item, Field: p.field, Problem: fmt.Sprintf(format, args...),
 	})
 }
 
-// failAt reports a problem at its value or, if the value is missing, at the
-// nearest enclosing one. The root is always known.
-func (d *decoder) failAt(p problem) {
+// reportProblem reports a problem at the position of its value or, if the value is
+// missing, of the innermost value that contains it. The root always has a node.
+func (d *decoder) reportProblem(p problem) {
 	path := p.path
-	for d.at[path] == nil {
-		path = parent(path)
+	for d.nodes[path] == nil {
+		path = parentPath(path)
 	}
-	n := d.at[path]
+	n := d.nodes[path]
 	item := p.item
 	for item == p.item && path != "" {
-		if name, ok := d.items[path]; ok {
+		if name, ok := d.itemNames[path]; ok {
 			item = name
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
-	d.report(place{p.path, item, p.field}, n, "%s", p.text)
+	d.report(location{p.path, item, p.field}, n, "%s", p.text)
 }
 
 func (d *decoder) catalogue(n *yaml.Node) *Catalogue {
 	c := &Catalogue{}
-	d.object(place{}, n, map[string]func(place, *yaml.Node){
-		listServices:     func(p place, n *yaml.Node) { c.Services = decodeList(d, p, n, "service", "id", d.service) },
-		listEntries:      func(p place, n *yaml.Node) { c.Entries = decodeList(d, p, n, "entry", "id", d.entry) },
-		listAccounts:     func(p place, n *yaml.Node) { c.Accounts = decodeList(d, p, n, "account", "id", d.account) },
-		listCallerKeys:   func(p place, n *yaml.Node) { c.CallerKeys = decodeList(d, p, n, "caller key", "hash", d.callerKey) },
-		listOutOfService: func(p place, n *yaml.Node) { c.OutOfService = decodeList(d, p, n, "outage", "name", d.outage) },
+	d.object(location{}, n, map[string]func(location, *yaml.Node){
+		listServices:     func(p location, n *yaml.Node) { c.Services = decodeList(d, p, n, "service", "id", d.service) },
+		listEntries:      func(p location, n *yaml.Node) { c.Entries = decodeList(d, p, n, "entry", "id", d.entry) },
+		listAccounts:     func(p location, n *yaml.Node) { c.Accounts = decodeList(d, p, n, "account", "id", d.account) },
+		listCallerKeys:   func(p location, n *yaml.Node) { c.CallerKeys = decodeList(d, p, n, "caller key", "hash", d.callerKey) },
+		listOutOfService: func(p location, n *yaml.Node) { c.OutOfService = decodeList(d, p, n, "outage", "name", d.outage) },
 	})
 	return c
 }
 
-func (d *decoder) service(p place, n *yaml.Node) Service {
+func (d *decoder) service(p location, n *yaml.Node) Service {
 	s := Service{Shards: DefaultShards, ColdSlots: DefaultColdSlots, WarmTime: DefaultWarmTime, Fencing: FencingChecked, Timeout: DefaultTimeout}
-	d.object(p, n, map[string]func(place, *yaml.Node){
-		"id":         text(d, &s.ID),
-		"shards":     number(d, &s.Shards),
-		"slots":      number(d, &s.Slots),
-		"cold-slots": number(d, &s.ColdSlots),
-		"warm-time":  d.duration(&s.WarmTime),
-		"fencing":    text(d, &s.Fencing),
-		"timeout":    d.duration(&s.Timeout),
+	d.object(p, n, map[string]func(location, *yaml.Node){
+		"id":         decodeText(d, &s.ID),
+		"shards":     decodeInt(d, &s.Shards),
+		"slots":      decodeInt(d, &s.Slots),
+		"cold-slots": decodeInt(d, &s.ColdSlots),
+		"warm-time":  d.decodeDuration(&s.WarmTime),
+		"fencing":    decodeText(d, &s.Fencing),
+		"timeout":    d.decodeDuration(&s.Timeout),
 	})
 	return s
 }
 
-func (d *decoder) entry(p place, n *yaml.Node) Entry {
+func (d *decoder) entry(p location, n *yaml.Node) Entry {
 	var e Entry
-	d.object(p, n, map[string]func(place, *yaml.Node){
-		"id":          text(d, &e.ID),
-		"owner":       text(d, &e.Owner),
-		"service":     text(d, &e.Service),
-		"path-prefix": text(d, &e.PathPrefix),
-		"class":       text(d, &e.Class),
-		"rate":        d.rate(&e.Limit.Rate),
-		"burst":       number(d, &e.Limit.Burst),
-		"routing-key": func(p place, n *yaml.Node) { e.RoutingKey = d.keySource(p, n) },
-		"open":        d.boolean(&e.Open),
-		"accounts": func(p place, n *yaml.Node) {
-			e.Accounts = decodeList(d, p, n, "", "", func(p place, n *yaml.Node) (id fleet.AccountID) {
-				text(d, &id)(p, n)
+	d.object(p, n, map[string]func(location, *yaml.Node){
+		"id":          decodeText(d, &e.ID),
+		"owner":       decodeText(d, &e.Owner),
+		"service":     decodeText(d, &e.Service),
+		"path-prefix": decodeText(d, &e.PathPrefix),
+		"class":       decodeText(d, &e.Class),
+		"rate":        d.decodeRate(&e.Limit.Rate),
+		"burst":       decodeInt(d, &e.Limit.Burst),
+		"routing-key": func(p location, n *yaml.Node) { e.RoutingKey = d.keySource(p, n) },
+		"open":        d.decodeBool(&e.Open),
+		"accounts": func(p location, n *yaml.Node) {
+			e.Accounts = decodeList(d, p, n, "", "", func(p location, n *yaml.Node) (id fleet.AccountID) {
+				decodeText(d, &id)(p, n)
 				return id
 			})
 		},
@@ -231,12 +238,12 @@
 	return e
 }
 
-func (d *decoder) keySource(p place, n *yaml.Node) KeySource {
+func (d *decoder) keySource(p location, n *yaml.Node) KeySource {
 	k := KeySource{Segment: segmentMissing}
-	d.object(p, n, map[string]func(place, *yaml.Node){
-		"from":    text(d, &k.From),
-		"name":    text(d, &k.Name),
-		"segment": number(d, &k.Segment),
+	d.object(p, n, map[string]func(location, *yaml.Node){
+		"from":    decodeText(d, &k.From),
+		"name":    decodeText(d, &k.Name),
+		"segment": decodeInt(d, &k.Segment),
 	})
 	if k.From != FromPathSegment && k.Segment == segmentMissing {
 		k.Segment = 0
@@ -244,25 +251,25 @@
 	return k
 }
 
-func (d *decoder) account(p place, n *yaml.Node) Account {
+func (d *decoder) account(p location, n *yaml.Node) Account {
 	var a Account
-	d.object(p, n, map[string]func(place, *yaml.Node){
-		"id":    text(d, &a.ID),
-		"rate":  d.rate(&a.Limit.Rate),
-		"burst": number(d, &a.Limit.Burst),
+	d.object(p, n, map[string]func(location, *yaml.Node){
+		"id":    decodeText(d, &a.ID),
+		"rate":  d.decodeRate(&a.Limit.Rate),
+		"burst": decodeInt(d, &a.Limit.Burst),
 	})
 	return a
 }
 
-func (d *decoder) callerKey(p place, n *yaml.Node) CallerKey {
+func (d *decoder) callerKey(p location, n *yaml.Node) CallerKey {
 	var k CallerKey
-	d.object(p, n, map[string]func(place, *yaml.Node){
-		"hash": func(p place, n *yaml.Node) {
+	d.object(p, n, map[string]func(location, *yaml.Node){
+		"hash": func(p location, n *yaml.Node) {
 			var s string
 			if !d.scalar(p, n, &s, "!!str") {
 				return
 			}
-			// The value is not repeated: a caller key may have been put here by mistake.
+			// The message omits the value, which may be a caller key entered by mistake.
 			h, ok := parseHash(s)
 			if !ok {
 				d.fail(p, n, "want 64 hexadecimal digits (SHA-256 of the caller key)")
@@ -270,19 +277,19 @@
 			}
 			k.Hash = h
 		},
-		"account": text(d, &k.Account),
-		"note":    text(d, &k.Note),
+		"account": decodeText(d, &k.Account),
+		"note":    decodeText(d, &k.Note),
 	})
 	return k
 }
 
-func (d *decoder) outage(p place, n *yaml.Node) Outage {
+func (d *decoder) outage(p location, n *yaml.Node) Outage {
 	var o Outage
-	d.object(p, n, map[string]func(place, *yaml.Node){
-		"kind": text(d, &o.Kind),
-		"name": text(d, &o.Name),
-		"by":   text(d, &o.By),
-		"at": func(p place, n *yaml.Node) {
+	d.object(p, n, map[string]func(location, *yaml.Node){
+		"kind": decodeText(d, &o.Kind),
+		"name": decodeText(d, &o.Name),
+		"by":   decodeText(d, &o.By),
+		"at": func(p location, n *yaml.Node) {
 			var s string
 			if !d.scalar(p, n, &s, "!!str", "!!timestamp") {
 				return
@@ -298,9 +305,10 @@
 	return o
 }
 
-// object calls the decoder of each field. Unknown and duplicate fields fail.
-func (d *decoder) object(p place, n *yaml.Node, fields map[string]func(place, *yaml.Node)) {
-	d.at[p.path] = n
+// object calls the decoder of each field of a mapping, by name, and reports unknown
+// and duplicate fields.
+func (d *decoder) object(p location, n *yaml.Node, fields map[string]func(location, *yaml.Node)) {
+	d.nodes[p.path] = n
 	if n.Kind != yaml.MappingNode {
 		d.fail(p, n, "want a mapping, found %s", kindName(n))
 		return
@@ -308,7 +316,7 @@
 	seen := make(map[string]int)
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, value := n.Content[i], n.Content[i+1]
-		sub := p.sub(key.Value)
+		sub := p.child(key.Value)
 		decode, known := fields[key.Value]
 		switch line, dup := seen[key.Value]; {
 		case key.Kind != yaml.ScalarNode || !known:
@@ -317,7 +325,7 @@
 			d.report(sub, key, "duplicate field, first on line %d", line)
 		default:
 			seen[key.Value] = key.Line
-			d.at[sub.path] = value
+			d.nodes[sub.path] = value
 			decode(sub, value)
 		}
 	}
@@ -332,26 +340,28 @@
 	return out
 }
 
-// decodeList decodes the elements of a sequence. With a kind, elements are items
-// that are named by their field idField.
-func decodeList[T any](d *decoder, p place, n *yaml.Node, kind, idField string, decode func(place, *yaml.Node) T) []T {
+// decodeList decodes the elements of a sequence. If kind is not empty, the elements
+// are items of that kind, and errors name them by the value of their field idField.
+func decodeList[T any](d *decoder, p location, n *yaml.Node, kind, idField string, decode func(location, *yaml.Node) T) []T {
 	if n.Kind != yaml.SequenceNode {
 		d.fail(p, n, "want a list, found %s", kindName(n))
 		return nil
 	}
 	var out []T
 	for i, e := range n.Content {
-		sub := place{path: p.path + "/" + strconv.Itoa(i), item: p.item, field: p.field}
+		sub := location{path: p.path + "/" + strconv.Itoa(i), item: p.item, field: p.field}
 		if kind != "" {
 			sub.item, sub.field = itemName(kind, scalarField(e, idField), i), ""
-			d.items[sub.path] = sub.item
+			d.itemNames[sub.path] = sub.item
 		}
-		d.at[sub.path] = e
+		d.nodes[sub.path] = e
 		out = append(out, decode(sub, e))
 	}
 	return out
 }
 
+// scalarField returns the text of the named field of a mapping, or "" if there is
+// no such field or its value is not a scalar.
 func scalarField(n *yaml.Node, name string) string {
 	for i := 0; n.Kind == yaml.MappingNode && i+1 < len(n.Content); i += 2 {
 		if n.Content[i].Value == name && n.Content[i+1].Kind == yaml.ScalarNode {
@@ -361,8 +371,10 @@
 	return ""
 }
 
-// scalar sets s to the text of a scalar whose resolved type is one of tags.
-func (d *decoder) scalar(p place, n *yaml.Node, s *string, tags ...string) bool {
+// scalar sets s to the text of n and returns true if n is a scalar whose resolved
+// YAML tag is one of tags. Otherwise it reports an error that asks for the type
+// tags[0].
+func (d *decoder) scalar(p location, n *yaml.Node, s *string, tags ...string) bool {
 	if n.Kind != yaml.ScalarNode || !slices.Contains(tags, n.ShortTag()) {
 		hint := ""
 		if n.Kind == yaml.ScalarNode && tags[0] == "!!str" && n.ShortTag() != "!!null" {
@@ -375,6 +387,7 @@
 	return true
 }
 
+// tagNames maps YAML tags to the names of their types in error messages.
 var tagNames = map[string]string{
 	"!!str": "a string", "!!int": "a whole number", "!!float": "a number", "!!bool": "true or false",
 	"!!null": "nothing", "!!timestamp": "a time", "!!binary": "binary data", "!!merge": "a merge key",
@@ -396,8 +409,8 @@
 	}
 }
 
-func text[T ~string](d *decoder, v *T) func(place, *yaml.Node) {
-	return func(p place, n *yaml.Node) {
+func decodeText[T ~string](d *decoder, v *T) func(location, *yaml.Node) {
+	return func(p location, n *yaml.Node) {
 		var s string
 		if d.scalar(p, n, &s, "!!str") {
 			*v = T(s)
@@ -405,8 +418,8 @@
 	}
 }
 
-func number[T ~int | ~int64](d *decoder, v *T) func(place, *yaml.Node) {
-	return func(p place, n *yaml.Node) {
+func decodeInt[T ~int | ~int64](d *decoder, v *T) func(location, *yaml.Node) {
+	return func(p location, n *yaml.Node) {
 		var s string
 		if !d.scalar(p, n, &s, "!!int") {
 			return
@@ -420,8 +433,8 @@
 	}
 }
 
-func (d *decoder) rate(v *fleet.PerSecond) func(place, *yaml.Node) {
-	return func(p place, n *yaml.Node) {
+func (d *decoder) decodeRate(v *fleet.PerSecond) func(location, *yaml.Node) {
+	return func(p location, n *yaml.Node) {
 		var s string
 		if !d.scalar(p, n, &s, "!!float", "!!int") {
 			return
@@ -435,8 +448,8 @@
 	}
 }
 
-func (d *decoder) boolean(v *bool) func(place, *yaml.Node) {
-	return func(p place, n *yaml.Node) {
+func (d *decoder) decodeBool(v *bool) func(location, *yaml.Node) {
+	return func(p location, n *yaml.Node) {
 		var s string
 		if d.scalar(p, n, &s, "!!bool") {
 			*v = s == "true"
@@ -444,8 +457,8 @@
 	}
 }
 
-func (d *decoder) duration(v *time.Duration) func(place, *yaml.Node) {
-	return func(p place, n *yaml.Node) {
+func (d *decoder) decodeDuration(v *time.Duration) func(location, *yaml.Node) {
+	return func(p location, n *yaml.Node) {
 		var s string
 		if !d.scalar(p, n, &s, "!!str") {
 			return
