--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet names the things that the router's processes talk about: ids,
-// units, keys and refusals. It decides nothing.
+// Package fleet defines the types that the router's processes share: ids, units of
+// ownership, keys, and refusals of requests. It contains no routing logic.
 //
-// Two kinds of key must not be confused. A CallerKey is a secret that a caller
-// shows; it names a client account. A RoutingKey is what an upstream owns; a
-// request is routed by it.
+// There are two kinds of key. A CallerKey is a secret that authenticates a caller
+// as a client account. A RoutingKey is owned by an upstream and determines where a
+// request is routed to.
 package fleet
 
 import (
@@ -16,78 +16,79 @@
 	"github.com/go-faster/errors"
 )
 
-// Ids. They are chosen by operators or the platform and are compared as bytes.
+// Ids are compared byte by byte. Most are chosen by operators or by the platform.
 type (
-	// InstanceID identifies a router process; it comes from its settings.
+	// InstanceID identifies an instance of the router; it is set in its settings.
 	InstanceID string
 	// ZoneID identifies an availability zone.
 	ZoneID string
-	// UpstreamID identifies a back end; it comes from the platform's instance list.
+	// UpstreamID identifies an upstream; it comes from the platform's instance list.
 	UpstreamID string
-	// ServiceID identifies a group of upstreams that divide routing keys.
+	// ServiceID identifies a group of upstreams among which routing keys are divided.
 	ServiceID string
 	// EntryID identifies a catalogue entry.
 	EntryID string
 	// AccountID identifies a client account.
 	AccountID string
-	// BootID identifies one run of a process; it changes at each start.
+	// BootID identifies one run of a process; each start has a new one.
 	BootID string
-	// RequestID identifies one request of a caller on its way through the fleet.
+	// RequestID identifies one request of a caller in all processes that handle it.
 	RequestID string
 	// LimitID identifies a token bucket; see AccountLimit and EntryLimit.
 	LimitID string
 )
 
-// Revision is the store's number of a write. Later writes have higher numbers.
+// Revision is the number of a write to the store. Later writes have higher numbers.
 type Revision uint64
 
-// Fence is a fencing token. Later grants have higher fences; 0 is no fence.
+// Fence is a fencing token. Later grants have higher fences; 0 means no fence.
 type Fence uint64
 
-// String returns the decimal form.
+// String returns f in decimal.
 func (f Fence) String() string { return strconv.FormatUint(uint64(f), 10) }
 
-// Tokens counts requests that a limit admits.
+// Tokens is a number of rate limit tokens. Each token admits one request.
 type Tokens int64
 
 // PerSecond is a rate in requests per second.
 type PerSecond float64
 
-// Slots counts requests that an upstream serves at the same time.
+// Slots is a number of requests that an upstream handles concurrently.
 type Slots int
 
-// Limit is a token bucket's size and refill rate. The zero Limit means no limit.
+// Limit is the configuration of a token bucket. The zero Limit means no limit.
 type Limit struct {
-	Rate  PerSecond
-	Burst Tokens
+	Rate  PerSecond // refill rate
+	Burst Tokens    // size of the bucket
 }
 
-// Unlimited reports whether the limit admits everything.
+// Unlimited reports whether l is the zero Limit, which admits every request.
 func (l Limit) Unlimited() bool { return l == Limit{} }
 
-// AccountLimit returns the id of an account's token bucket.
+// AccountLimit returns the id of the token bucket of a client account.
 func AccountLimit(id AccountID) LimitID { return LimitID("account:" + id) }
 
-// EntryLimit returns the id of a catalogue entry's token bucket.
+// EntryLimit returns the id of the token bucket of a catalogue entry.
 func EntryLimit(id EntryID) LimitID { return LimitID("entry:" + id) }
 
-// RoutingKey is what an upstream owns and a request is routed by.
+// RoutingKey is the key by which a request is routed. Each routing key of a service
+// is owned by one upstream.
 type RoutingKey string
 
-// ShardID numbers the shards of a service from 0.
+// ShardID is the number of a shard of a service, from 0.
 type ShardID uint32
 
-// Shard returns the shard of the key in a service with n shards.
+// Shard returns the shard of k in a service with n shards. It panics if n is 0.
 func (k RoutingKey) Shard(n int) ShardID {
 	return ShardID(xxhash.Sum64String(string(k)) % uint64(n))
 }
 
-// Unit is what ownership is assigned by: a shard of a service, or a pinned key,
-// which has an owner of its own apart from its shard.
+// Unit is the unit of ownership: a shard of a service, or a pinned routing key,
+// whose owner is independent of the owner of its shard.
 type Unit struct {
 	Service ServiceID
-	Shard   ShardID    // if Pin is empty
-	Pin     RoutingKey // a pinned routing key, or empty
+	Shard   ShardID    // only used if Pin is empty
+	Pin     RoutingKey // the pinned routing key; empty for a shard
 }
 
 // String returns "service/shard" or "service/pin:key".
@@ -98,14 +99,14 @@
 	return string(u.Service) + "/" + strconv.FormatUint(uint64(u.Shard), 10)
 }
 
-// Grant is the ownership of a unit under a fence.
+// Grant is the ownership of a unit with the fencing token that protects it.
 type Grant struct {
 	Unit  Unit
 	Fence Fence
 }
 
-// CallerKey is a secret credential. Its String hides it, so that logs cannot
-// show it.
+// CallerKey is the secret with which a caller authenticates. Formatting it with
+// package fmt prints a placeholder, so that logs cannot contain it.
 type CallerKey string
 
 // String returns a placeholder.
@@ -114,21 +115,22 @@
 // GoString returns a placeholder.
 func (CallerKey) GoString() string { return "[caller key]" }
 
-// Hash returns the form that is stored and compared.
+// Hash returns the SHA-256 of k. Only the hash is stored and compared.
 func (k CallerKey) Hash() CallerKeyHash { return sha256.Sum256([]byte(k)) }
 
 // CallerKeyHash is the SHA-256 of a CallerKey.
 type CallerKeyHash [sha256.Size]byte
 
-// String returns 64 hexadecimal digits.
+// String returns h as 64 lower-case hexadecimal digits.
 func (h CallerKeyHash) String() string { return hex.EncodeToString(h[:]) }
 
-// Equal compares in constant time.
+// Equal reports whether h and o are equal. It takes constant time.
 func (h CallerKeyHash) Equal(o CallerKeyHash) bool {
 	return subtle.ConstantTimeCompare(h[:], o[:]) == 1
 }
 
-// ParseCallerKeyHash parses 64 hexadecimal digits.
+// ParseCallerKeyHash parses a hash of 64 hexadecimal digits. It returns an error
+// for any other text. The error does not contain s, which may be a caller key.
 func ParseCallerKeyHash(s string) (CallerKeyHash, error) {
 	var h CallerKeyHash
 	if len(s) != hex.EncodedLen(len(h)) {
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -21,8 +21,8 @@
 	// Output: [caller key] [caller key] [caller key]
 }
 
-// Guards against a reason without an HTTP status and against a reason that says
-// not run although the request was sent.
+// Guards against a reason without an HTTP error status, and against a reason with
+// outcome not-run although the request was sent to an upstream.
 func TestReasons(t *testing.T) {
 	for r, status := range fleet.Reasons() {
 		if status < 400 || r.Status() != status {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Guards against a hash that is too long, which made the decoder write past its
-// end, and against an error that repeats what may be a caller key.
+// Guards against text that is longer than a hash, with which hex.Decode wrote past
+// the end of the hash, and against an error that repeats what may be a caller key.
 func TestParseCallerKeyHash(t *testing.T) {
 	want := fleet.CallerKey("x").Hash()
 	if got, err := fleet.ParseCallerKeyHash(want.String()); err != nil || !got.Equal(want) {
--- a/pkg/fleet/peer.go
+++ b/pkg/fleet/peer.go
@@ -2,13 +2,13 @@
 
 import "github.com/go-faster/jx"
 
-// Peer is an instance and where the others reach it.
+// Peer is an instance with its network address.
 type Peer struct {
 	ID   InstanceID
-	Addr string
+	Addr string // "host:port" at which other instances reach it
 }
 
-// EncodePeers writes peers as an object of addresses by id.
+// EncodePeers writes peers as a JSON object that maps ids to addresses.
 func EncodePeers(e *jx.Encoder, peers []Peer) {
 	e.ObjStart()
 	for _, p := range peers {
@@ -18,7 +18,8 @@
 	e.ObjEnd()
 }
 
-// DecodePeers reads what EncodePeers wrote.
+// DecodePeers reads a JSON object that EncodePeers wrote, in the order of its
+// fields. If the JSON is malformed, it returns an error with the peers read so far.
 func DecodePeers(d *jx.Decoder) ([]Peer, error) {
 	var peers []Peer
 	err := d.Obj(func(d *jx.Decoder, id string) error {
--- a/pkg/fleet/refusal.go
+++ b/pkg/fleet/refusal.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Outcome says whether a refused request may have run.
+// Outcome states whether an upstream may have executed a refused request.
 type Outcome string
 
 const (
-	// NotRun means that the request provably never started; repeating it is safe.
+	// NotRun means that no upstream has started or will start the request. It is safe
+	// to send it again.
 	NotRun Outcome = "not-run"
-	// Unknown means that the request may have run.
+	// Unknown means that an upstream may have executed the request, or may still do so.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why a request was refused.
+// Reason is the cause of a refusal.
 type Reason string
 
-// Reasons for a refusal. ReasonTimeout, ReasonConnectionLost and
-// ReasonBadAnswer leave the outcome unknown; all others mean not run.
+// Reasons for a refusal. The outcome of ReasonTimeout, ReasonConnectionLost and
+// ReasonBadAnswer is Unknown; that of all others is NotRun.
 const (
 	ReasonBadRequest       Reason = "bad-request"
 	ReasonUnauthenticated  Reason = "unauthenticated"
@@ -58,7 +59,7 @@
 	ReasonBadAnswer:        http.StatusBadGateway,
 }
 
-// Reasons returns every reason with its HTTP status.
+// Reasons returns every reason with its HTTP status. The caller may modify the map.
 func Reasons() map[Reason]int {
 	out := make(map[Reason]int, len(reasonStatus))
 	for r, status := range reasonStatus {
@@ -67,7 +68,7 @@
 	return out
 }
 
-// Status returns the HTTP status of the reason, 500 for an unknown one.
+// Status returns the HTTP status of r. It is 500 if r is not in Reasons.
 func (r Reason) Status() int {
 	if s, ok := reasonStatus[r]; ok {
 		return s
@@ -75,7 +76,7 @@
 	return http.StatusInternalServerError
 }
 
-// Outcome returns what the reason says about the request.
+// Outcome returns the outcome of a request that was refused for r.
 func (r Reason) Outcome() Outcome {
 	switch r {
 	case ReasonTimeout, ReasonConnectionLost, ReasonBadAnswer:
@@ -85,14 +86,14 @@
 	}
 }
 
-// Refusal is the answer to a request that was not served.
+// Refusal is the error response to a request that was not served.
 type Refusal struct {
 	Reason     Reason
-	Detail     string        // one sentence for people; never contains a caller key
-	RetryAfter time.Duration // 0: no advice
+	Detail     string        // one sentence for the caller's developers; never contains a caller key
+	RetryAfter time.Duration // time after which a retry may succeed; 0: not known
 }
 
-// Error returns the outcome, the reason and the detail.
+// Error returns "outcome: reason: detail", without the detail if it is empty.
 func (r *Refusal) Error() string {
 	s := string(r.Reason.Outcome()) + ": " + string(r.Reason)
 	if r.Detail != "" {
@@ -101,7 +102,8 @@
 	return s
 }
 
-// Names of headers in requests to upstreams, in their answers and in refusals.
+// Names of HTTP headers of requests to upstreams, of their responses and of
+// refusals.
 const (
 	HeaderOutcome         = "Parsley-Outcome"
 	HeaderReason          = "Parsley-Reason"
