--- a/internal/standin/load/direct.go
+++ b/internal/standin/load/direct.go
@@ -9,7 +9,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Outgoing is a request to an upstream that checks no fencing tokens.
+// Outgoing describes a request that is sent directly to an upstream that does
+// not check fencing tokens.
 type Outgoing struct {
 	ID       string
 	Account  fleet.AccountID
@@ -17,21 +18,25 @@
 	Deadline time.Time
 }
 
-// Owner returns the target of the service that a static hash of the key names.
+// Owner returns the target of the service that owns the key under static
+// hashing: the shard of the key modulo the number of targets of the service. It
+// returns the zero Target if the service has none.
 func Owner(targets []Target, service fleet.ServiceID, key fleet.RoutingKey) Target {
-	var own []Target
+	var candidates []Target
 	for _, t := range targets {
 		if t.Service == service {
-			own = append(own, t)
+			candidates = append(candidates, t)
 		}
 	}
-	if len(own) == 0 {
+	if len(candidates) == 0 {
 		return Target{}
 	}
-	return own[int(key.Shard(catalogue.DefaultShards))%len(own)]
+	return candidates[int(key.Shard(catalogue.DefaultShards))%len(candidates)]
 }
 
-// SetUpstreamHeaders sets the headers that an upstream requires.
+// SetUpstreamHeaders sets the headers that an upstream requires. Both fencing
+// tokens are 1, since the upstream does not check them. Both fencing
+// tokens are 1, since the upstream does not check them.
 func SetUpstreamHeaders(h http.Header, now time.Time, o Outgoing) {
 	h.Set(fleet.HeaderRequestID, o.ID)
 	h.Set(fleet.HeaderAccount, string(o.Account))
--- a/internal/standin/load/health.go
+++ b/internal/standin/load/health.go
@@ -11,28 +11,28 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/http1"
 )
 
-// healthTimeout bounds a readiness check.
-const healthTimeout = 500 * time.Millisecond
+// readinessTimeout bounds one readiness check of one target.
+const readinessTimeout = 500 * time.Millisecond
 
-// health keeps the targets that pass their readiness check, as a load balancer
-// does. If none passes, all are used.
-type health struct {
+// healthChecker tracks which targets pass their readiness check, as a load
+// balancer does. If none passes, all targets are used.
+type healthChecker struct {
 	targets []Target
 	ready   atomic.Pointer[[]Target]
 }
 
-func newHealth(targets []Target) *health {
-	h := &health{targets: targets}
+func newHealthChecker(targets []Target) *healthChecker {
+	h := &healthChecker{targets: targets}
 	h.ready.Store(&targets)
 	return h
 }
 
-func (h *health) pick(rng *rand.Rand) Target {
+func (h *healthChecker) pick(rng *rand.Rand) Target {
 	ready := *h.ready.Load()
 	return ready[rng.IntN(len(ready))]
 }
 
-func (h *health) watch(ctx context.Context, g *Generator) {
+func (h *healthChecker) run(ctx context.Context, g *Generator) {
 	tick := time.NewTicker(g.cfg.Health)
 	defer tick.Stop()
 	for {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (h *health) checkAll(ctx context.Context, g *Generator) {
+func (h *healthChecker) checkAll(ctx context.Context, g *Generator) {
 	passed := make([]bool, len(h.targets))
 	var wg sync.WaitGroup
 	for i, t := range h.targets {
@@ -67,7 +67,7 @@
 
 // Ready reports whether the instance behind the pool passes its readiness check.
 func Ready(ctx context.Context, p *http1.Pool) bool {
-	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
 	res, err := p.Do(ctx, &http1.Request{Method: http.MethodGet, Target: "/-/ready"})
 	return err == nil && res.Status < http.StatusMultipleChoices
--- a/internal/standin/load/history.go
+++ b/internal/standin/load/history.go
@@ -15,22 +15,22 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/catalogue"
 )
 
-// writer writes the history, one JSON object per line.
-type writer struct {
+// historyWriter writes one JSON object per line for each request.
+type historyWriter struct {
 	mu  sync.Mutex
-	w   *bufio.Writer // nil: none
+	w   *bufio.Writer // nil if no history is written
 	e   jx.Encoder
 	err error
 }
 
-func newWriter(w io.Writer) *writer {
+func newHistoryWriter(w io.Writer) *historyWriter {
 	if w == nil {
-		return &writer{}
+		return &historyWriter{}
 	}
-	return &writer{w: bufio.NewWriterSize(w, 1<<16)}
+	return &historyWriter{w: bufio.NewWriterSize(w, 1<<16)}
 }
 
-func (h *writer) write(r request, entry Entry, res result) {
+func (h *historyWriter) write(r request, entry Entry, res result) {
 	if h.w == nil {
 		return
 	}
@@ -38,25 +38,25 @@
 	defer h.mu.Unlock()
 	e := &h.e
 	e.Reset()
-	text := func(name, v string) {
+	stringField := func(name, v string) {
 		if v != "" {
 			e.Field(name, func(e *jx.Encoder) { e.Str(v) })
 		}
 	}
 	e.Obj(func(e *jx.Encoder) {
-		e.Field("t0", func(e *jx.Encoder) { e.Int64(r.at.UnixNano()) })
+		e.Field("t0", func(e *jx.Encoder) { e.Int64(r.arrival.UnixNano()) })
 		e.Field("t1", func(e *jx.Encoder) { e.Int64(res.end.UnixNano()) })
-		text("instance", r.target.Name)
-		text("account", string(r.account.ID))
-		text("entry", string(entry.ID))
-		text("service", string(entry.Service))
-		text("class", string(entry.Class))
-		text("key", string(r.key))
-		text("client-id", r.id)
-		text("request-id", res.requestID)
+		stringField("instance", r.target.Name)
+		stringField("account", string(r.account.ID))
+		stringField("entry", string(entry.ID))
+		stringField("service", string(entry.Service))
+		stringField("class", string(entry.Class))
+		stringField("key", string(r.key))
+		stringField("client-id", r.id)
+		stringField("request-id", res.requestID)
 		e.Field("status", func(e *jx.Encoder) { e.Int(res.status) })
-		text("outcome", res.outcome)
-		text("reason", res.reason)
+		stringField("outcome", res.outcome)
+		stringField("reason", res.reason)
 		e.Field("whole", func(e *jx.Encoder) { e.Bool(res.whole) })
 	})
 	if _, err := h.w.Write(append(e.Bytes(), '\n')); err != nil && h.err == nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (h *writer) flush() error {
+func (h *historyWriter) flush() error {
 	if h.w == nil {
 		return nil
 	}
@@ -76,45 +76,48 @@
 	return h.err
 }
 
-// Summary counts what happened.
+// Summary holds the number of requests by outcome and the latencies of served
+// requests.
 type Summary struct {
-	Took     time.Duration
-	Requests int
-	Outcomes map[string]int // by outcome and reason, as in "not-run overloaded"
-	latency  map[catalogue.Class]*hdrhistogram.Histogram
+	Took      time.Duration
+	Requests  int
+	Outcomes  map[string]int // number of requests by outcome and reason, such as "not-run overloaded"
+	latencies map[catalogue.Class]*hdrhistogram.Histogram
 }
 
 func newSummary() Summary {
-	return Summary{Outcomes: make(map[string]int), latency: make(map[catalogue.Class]*hdrhistogram.Histogram)}
+	return Summary{Outcomes: make(map[string]int), latencies: make(map[catalogue.Class]*hdrhistogram.Histogram)}
 }
 
-// maxLatency is the longest latency that the histograms tell apart.
-const maxLatency = time.Minute
+// maxRecordedLatency is the upper bound of the latency histograms. Longer
+// latencies are recorded as this value.
+const maxRecordedLatency = time.Minute
 
-func (s *Summary) add(class catalogue.Class, at time.Time, res result) {
+func (s *Summary) record(class catalogue.Class, at time.Time, res result) {
 	s.Requests++
 	s.Outcomes[strings.TrimSpace(res.outcome+" "+res.reason)]++
 	if res.outcome != OutcomeServed {
 		return
 	}
-	h := s.latency[class]
+	h := s.latencies[class]
 	if h == nil {
-		h = hdrhistogram.New(1, maxLatency.Microseconds(), 3)
-		s.latency[class] = h
+		h = hdrhistogram.New(1, maxRecordedLatency.Microseconds(), 3)
+		s.latencies[class] = h
 	}
-	_ = h.RecordValue(min(max(1, res.end.Sub(at).Microseconds()), maxLatency.Microseconds()))
+	_ = h.RecordValue(min(max(1, res.end.Sub(at).Microseconds()), maxRecordedLatency.Microseconds()))
 }
 
-// Latency returns a percentile of the served requests of a class.
+// Latency returns a percentile (0 to 100) of the latencies of the served requests
+// of a class, or 0 if none was served.
 func (s *Summary) Latency(class catalogue.Class, percentile float64) time.Duration {
-	h := s.latency[class]
+	h := s.latencies[class]
 	if h == nil {
 		return 0
 	}
 	return time.Duration(h.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// String returns several lines for people.
+// String formats the summary as several lines of text for display.
 func (s *Summary) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d requests in %s\n", s.Requests, s.Took.Round(time.Millisecond))
@@ -127,7 +130,7 @@
 		fmt.Fprintf(&b, "  %-28s %d\n", name, s.Outcomes[name])
 	}
 	for _, class := range []catalogue.Class{catalogue.Idempotent, catalogue.NonIdempotent} {
-		if s.latency[class] != nil {
+		if s.latencies[class] != nil {
 			fmt.Fprintf(&b, "  latency %-15s p50 %s, p99 %s, p99.9 %s\n", class,
 				s.Latency(class, 50), s.Latency(class, 99), s.Latency(class, 99.9))
 		}
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,11 +1,14 @@
-// Package load is an open-loop load generator. Each client account has a Poisson
-// process of arrivals that does not depend on answers, so a slow answer delays
-// no later request. The latency of a request counts from its planned arrival,
-// which includes the simulated network delay and any lateness of the generator.
+// Package load is an open-loop load generator. The requests of each client
+// account arrive as a Poisson process that is independent of the responses, so
+// that a slow response does not delay later requests. Latency is measured from
+// the scheduled arrival of a request and thus includes the simulated network
+// delay and any scheduling delay of the generator itself.
 //
-// A request goes to a random target that is ready, as a load balancer would
-// send it. Its id travels in X-Client-Id; an answer is whole if it echoes the id
-// and its body names the routing key and the client account of the request.
+// Each request goes to a random ready target, as behind a load balancer. It
+// carries its id in the header X-Client-Id. A response is whole if it echoes that
+// id and its body is valid and names the routing key and the client account of
+// the request. Refusals follow a weaker rule, since they may not come from an
+// upstream: their body must be valid JSON and must not echo a different id.
 package load
 
 import (
@@ -24,85 +27,86 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Config describes the load.
+// Config describes the load that a Generator offers.
 type Config struct {
 	Targets  []Target
 	Accounts []Account
 	Entries  []Entry
 
 	Duration    time.Duration
-	MaxRequests int           // over all accounts; 0: no bound
-	MaxInFlight int           // arrivals above it are recorded as not sent; 0: 4096
-	Deadline    time.Duration // sent in Parsley-Deadline-Ms; 0: 2 s
-	Delay       time.Duration // network delay, waited before a request is sent
-	HotChange   time.Duration // the hot keys change this often; 0: never
-	Health      time.Duration // interval of readiness checks; 0: none, every target is ready
-	Direct      bool          // targets are upstreams that check no fencing tokens
+	MaxRequests int           // total over all accounts; 0 means no limit
+	MaxInFlight int           // arrivals above this limit are not sent and are recorded as not-run; 0 means 4096
+	Deadline    time.Duration // time allowed per request, sent in Parsley-Deadline-Ms; 0 means 2 s
+	Delay       time.Duration // simulated network delay before a request is sent
+	HotChange   time.Duration // interval at which the most requested keys change; 0 means never
+	Health      time.Duration // interval of readiness checks; 0 disables them, so that every target counts as ready
+	Direct      bool          // targets are upstreams that do not check fencing tokens
 	Seed        uint64
-	History     io.Writer // nil: none
+	History     io.Writer // receives one JSON line per request; nil means no history
 }
 
 // Target is an instance, or an upstream if Config.Direct is set.
 type Target struct {
 	Name    string
 	Addr    string
-	Service fleet.ServiceID // of an upstream
+	Service fleet.ServiceID // set only for an upstream
 }
 
-// Account is a client account as a source of requests.
+// Account is a client account that sends requests.
 type Account struct {
 	ID     fleet.AccountID
 	Key    fleet.CallerKey
 	Rate   float64 // requests/s
-	Times  float64 // factor on the rate; 0 means 1
-	Target string  // gets Share of the requests; empty: none in particular
-	Share  float64
+	Times  float64 // multiplier of Rate; 0 means 1
+	Target string  // name of the target that gets at least Share of the requests; empty means no preference
+	Share  float64 // fraction from 0 to 1 of the requests sent to Target; the others go to a random ready target
 }
 
 // Entry is a catalogue entry that requests use.
 type Entry struct {
 	ID      fleet.EntryID
 	Service fleet.ServiceID
-	Prefix  string // with a final slash; the routing key follows it
+	Prefix  string // path prefix that ends in a slash and is followed by the routing key
 	Class   catalogue.Class
-	Weight  float64 // share of the requests, relative to the other entries
-	Keys    int     // number of routing keys
-	Skew    float64 // exponent of the zipf distribution, above 1; 0: all keys alike
+	Weight  float64 // frequency of requests relative to the other entries
+	Keys    int     // number of different routing keys
+	Skew    float64 // exponent of the Zipf distribution of keys, above 1; 0 means uniform
 }
 
-// Defaults of Config.
+// Defaults and limits of a Generator.
 const (
-	defaultInFlight = 4096
-	defaultDeadline = 2 * time.Second
-	// answerMargin is how long after a request's deadline an answer is still
-	// waited for, so that late refusals are recorded with their outcome.
-	answerMargin = 500 * time.Millisecond
-	// connsPerTarget allows every request in flight a connection of its own.
-	connsPerTarget = 4096
+	defaultMaxInFlight = 4096
+	defaultDeadline    = 2 * time.Second
+	// lateAnswerWait is how long the generator waits for a response after the
+	// deadline of the request, so that late refusals are recorded with their outcome.
+	lateAnswerWait = 500 * time.Millisecond
+	// maxConnsPerTarget gives every request in flight its own connection at the
+	// default limit on requests in flight.
+	maxConnsPerTarget = 4096
 )
 
-// Generator sends requests.
+// Generator offers the load of a Config and records the result of each request.
 type Generator struct {
-	cfg     Config
-	client  *http1.Client
-	pools   map[string]*http1.Pool // by target name
-	health  *health
-	history *writer
-	prefix  string // of client ids, unique per run
-	weights float64
+	cfg         Config
+	client      *http1.Client
+	pools       map[string]*http1.Pool // by target name
+	health      *healthChecker
+	history     *historyWriter
+	idPrefix    string // start of the client ids, unique per run
+	totalWeight float64
 
-	sent     atomic.Int64
-	inFlight atomic.Int64
-	requests sync.WaitGroup
+	arrivalCount atomic.Int64
+	inFlight     atomic.Int64
+	pending      sync.WaitGroup
 
 	mu      sync.Mutex
 	summary Summary
 }
 
-// New checks cfg and returns a generator.
+// New validates cfg and returns a Generator.
 func New(cfg Config) (*Generator, error) {
 	if cfg.MaxInFlight <= 0 {
-		cfg.MaxInFlight = defaultInFlight
+		cfg.MaxInFlight = defaultMaxInFlight
 	}
 	if cfg.Deadline <= 0 {
 		cfg.Deadline = defaultDeadline
@@ -116,79 +120,81 @@
 	}
 	g := &Generator{
 		cfg: cfg, client: client, pools: make(map[string]*http1.Pool),
-		history: newWriter(cfg.History), summary: newSummary(),
-		prefix: strconv.FormatInt(time.Now().UnixNano(), 36) + "-",
+		history: newHistoryWriter(cfg.History), summary: newSummary(),
+		idPrefix: strconv.FormatInt(time.Now().UnixNano(), 36) + "-",
 	}
 	for _, t := range cfg.Targets {
-		g.pools[t.Name] = client.NewPool(t.Addr, http1.PoolConfig{MaxConns: connsPerTarget})
+		g.pools[t.Name] = client.NewPool(t.Addr, http1.PoolConfig{MaxConns: maxConnsPerTarget})
 	}
 	for _, e := range cfg.Entries {
-		g.weights += e.Weight
+		g.totalWeight += e.Weight
 	}
-	g.health = newHealth(cfg.Targets)
+	g.health = newHealthChecker(cfg.Targets)
 	return g, nil
 }
 
 func (c Config) check() error {
 	if len(c.Targets) == 0 || len(c.Accounts) == 0 || len(c.Entries) == 0 {
-		return errors.New("load needs at least one target, one account and one entry")
+		return errors.New("load configuration needs at least one target, one account and one entry")
 	}
 	if c.Duration <= 0 {
-		return errors.Errorf("duration %s: want more than 0", c.Duration)
+		return errors.Errorf("load duration is %s, want more than 0", c.Duration)
 	}
 	for _, a := range c.Accounts {
 		if a.Rate <= 0 || a.Times < 0 || a.Share < 0 || a.Share > 1 {
-			return errors.Errorf("account %q: want rate > 0, times >= 0 and 0 <= share <= 1", a.ID)
+			return errors.Errorf("load account %q: want rate > 0, times >= 0 and 0 <= share <= 1", a.ID)
 		}
 	}
 	for _, e := range c.Entries {
 		if e.Weight <= 0 || e.Keys < 1 || (e.Skew != 0 && e.Skew <= 1) {
-			return errors.Errorf("entry %q: want weight > 0, keys >= 1 and skew 0 or above 1", e.ID)
+			return errors.Errorf("load entry %q: want weight > 0, keys >= 1 and skew 0 or > 1", e.ID)
 		}
 		if e.Class != catalogue.Idempotent && e.Class != catalogue.NonIdempotent {
-			return errors.Errorf("entry %q: class %q is neither idempotent nor non-idempotent", e.ID, e.Class)
+			return errors.Errorf("load entry %q: class is %q, want idempotent or non-idempotent", e.ID, e.Class)
 		}
 	}
 	return nil
 }
 
-// Run sends requests until the duration or ctx ends, waits for the answers and
-// returns the summary.
+// Run offers the load until Config.Duration has passed, Config.MaxRequests have
+// arrived or ctx is done. It then waits for the requests in flight and returns
+// the summary. A Generator can run only once.
 func (g *Generator) Run(ctx context.Context) (Summary, error) {
 	defer g.client.Close()
-	arrivals, stop := context.WithTimeout(ctx, g.cfg.Duration)
-	defer stop()
-	began := time.Now()
+	arrivalsCtx, stopArrivals := context.WithTimeout(ctx, g.cfg.Duration)
+	defer stopArrivals()
+	start := time.Now()
 	var sources, checks sync.WaitGroup
 	if g.cfg.Health > 0 {
-		g.health.checkAll(arrivals, g)
-		checks.Go(func() { g.health.watch(arrivals, g) })
+		g.health.checkAll(arrivalsCtx, g)
+		checks.Go(func() { g.health.run(arrivalsCtx, g) })
 	}
 	for i := range g.cfg.Accounts {
-		sources.Go(func() { g.source(arrivals, began, i) })
+		sources.Go(func() { g.generateArrivals(arrivalsCtx, start, i) })
 	}
 	sources.Wait()
-	stop() // the bound on the count may have ended the arrivals earlier
+	stopArrivals() // ends the readiness checks if MaxRequests ended the arrivals before Duration
 	checks.Wait()
-	g.requests.Wait()
+	g.pending.Wait()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.summary.Took = time.Since(began)
+	g.summary.Took = time.Since(start)
 	return g.summary, g.history.flush()
 }
 
-// source creates the arrivals of one account.
-func (g *Generator) source(ctx context.Context, began time.Time, index int) {
+// generateArrivals starts the requests of one account at the times of a Poisson
+// process.
+func (g *Generator) generateArrivals(ctx context.Context, start time.Time, index int) {
 	a := g.cfg.Accounts[index]
 	rng := rand.New(rand.NewPCG(g.cfg.Seed, uint64(index)+1))
-	pick := newPicker(rng, g.cfg.Entries, g.weights)
+	picker := newPicker(rng, g.cfg.Entries, g.totalWeight)
 	rate := a.Rate
 	if a.Times > 0 {
 		rate *= a.Times
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for at := began; ; {
+	for at := start; ; {
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		timer.Reset(time.Until(at))
 		select {
@@ -196,32 +202,32 @@
 			return
 		case <-timer.C:
 		}
-		n := g.sent.Add(1)
+		n := g.arrivalCount.Add(1)
 		if g.cfg.MaxRequests > 0 && n > int64(g.cfg.MaxRequests) {
 			return
 		}
-		e := pick.entry()
+		e := picker.pickEntry()
 		r := request{
-			at: at, account: a, entry: e, id: g.prefix + strconv.FormatInt(n, 36),
-			key: pick.key(e, g.epoch(at.Sub(began))),
+			arrival: at, account: a, entryIndex: e, id: g.idPrefix + strconv.FormatInt(n, 36),
+			key: picker.pickKey(e, g.hotKeyEpoch(at.Sub(start))),
 		}
-		r.target = g.target(rng, r)
-		g.start(r)
+		r.target = g.pickTarget(rng, r)
+		g.startRequest(r)
 	}
 }
 
-// epoch counts the changes of the hot keys.
-func (g *Generator) epoch(elapsed time.Duration) int {
+// hotKeyEpoch returns how many times the hot keys have changed.
+func (g *Generator) hotKeyEpoch(elapsed time.Duration) int {
 	if g.cfg.HotChange <= 0 {
 		return 0
 	}
 	return int(elapsed / g.cfg.HotChange)
 }
 
-// target picks where a request goes.
-func (g *Generator) target(rng *rand.Rand, r request) Target {
+// pickTarget returns the target for a request.
+func (g *Generator) pickTarget(rng *rand.Rand, r request) Target {
 	if g.cfg.Direct {
-		return Owner(g.cfg.Targets, g.cfg.Entries[r.entry].Service, r.key)
+		return Owner(g.cfg.Targets, g.cfg.Entries[r.entryIndex].Service, r.key)
 	}
 	if r.account.Target != "" && rng.Float64() < r.account.Share {
 		for _, t := range g.cfg.Targets {
@@ -233,26 +239,27 @@
 	return g.health.pick(rng)
 }
 
-// start sends a request unless too many are in flight.
-func (g *Generator) start(r request) {
+// startRequest sends a request in a new goroutine, or records it as not-run if
+// Config.MaxInFlight requests are in flight already.
+func (g *Generator) startRequest(r request) {
 	if g.inFlight.Add(1) > int64(g.cfg.MaxInFlight) {
 		g.inFlight.Add(-1)
-		g.finish(r, result{outcome: OutcomeNotRun, reason: reasonGenerator, end: time.Now()})
+		g.recordResult(r, result{outcome: OutcomeNotRun, reason: reasonGeneratorFull, end: time.Now()})
 		return
 	}
-	g.requests.Go(func() {
+	g.pending.Go(func() {
 		defer g.inFlight.Add(-1)
 		if g.cfg.Delay > 0 {
-			time.Sleep(time.Until(r.at.Add(g.cfg.Delay)))
+			time.Sleep(time.Until(r.arrival.Add(g.cfg.Delay)))
 		}
-		g.finish(r, g.send(r))
+		g.recordResult(r, g.send(r))
 	})
 }
 
-func (g *Generator) finish(r request, res result) {
-	e := g.cfg.Entries[r.entry]
+func (g *Generator) recordResult(r request, res result) {
+	e := g.cfg.Entries[r.entryIndex]
 	g.history.write(r, e, res)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.summary.add(e.Class, r.at, res)
+	g.summary.record(e.Class, r.arrival, res)
 }
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -18,8 +18,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// listen serves a test target.
-func listen(t *testing.T, h http.HandlerFunc) Target {
+// serveTarget starts a server with the handler and returns it as a target.
+func serveTarget(t *testing.T, h http.HandlerFunc) Target {
 	t.Helper()
 	s, err := http1.Listen(http1.ServerConfig{Addr: "127.0.0.1:0", Handler: h})
 	if err != nil {
@@ -29,13 +29,13 @@
 	return Target{Name: s.Addr(), Addr: s.Addr()}
 }
 
-// answer answers as an upstream does.
-func answer(w http.ResponseWriter, id, account, key string) {
+// writeAnswer writes the response of an upstream.
+func writeAnswer(w http.ResponseWriter, id, account, key string) {
 	w.Header().Set(HeaderClientID, id)
 	_, _ = w.Write([]byte(`{"account":"` + account + `","key":"` + key + `"}`))
 }
 
-func keyOf(r *http.Request) string { return r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:] }
+func requestKey(r *http.Request) string { return r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:] }
 
 func testConfig(targets ...Target) Config {
 	return Config{
@@ -58,20 +58,20 @@
 	return s
 }
 
-// TestOpenLoop guards against slow answers that delay later arrivals: no request
-// is answered before all have arrived.
+// TestOpenLoop checks that slow responses do not delay later arrivals: the target
+// responds to no request before all have arrived.
 func TestOpenLoop(t *testing.T) {
 	const n = 50
 	var mu sync.Mutex
 	arrived, all := 0, make(chan struct{})
-	target := listen(t, func(w http.ResponseWriter, r *http.Request) {
+	target := serveTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		if arrived++; arrived == n {
 			close(all)
 		}
 		mu.Unlock()
 		<-all
-		answer(w, r.Header.Get(HeaderClientID), "acme", keyOf(r))
+		writeAnswer(w, r.Header.Get(HeaderClientID), "acme", requestKey(r))
 	})
 	cfg := testConfig(target)
 	cfg.Deadline = 20 * time.Second
@@ -81,18 +81,18 @@
 	}
 }
 
-// TestOutcomes guards against counting an answer of another request, a damaged
-// one or a refusal as served.
+// TestOutcomes checks that a response to another request, a corrupt response and
+// a refusal are not counted as served.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer func(w http.ResponseWriter, id, key string)
 		want   string
 	}{
-		{"other id", func(w http.ResponseWriter, _, key string) { answer(w, "other", "acme", key) }, OutcomeWrong},
-		{"other key", func(w http.ResponseWriter, id, _ string) { answer(w, id, "acme", "other") }, OutcomeWrong},
-		{"other account", func(w http.ResponseWriter, id, key string) { answer(w, id, "other", key) }, OutcomeWrong},
-		{"damaged body", func(w http.ResponseWriter, id, _ string) {
+		{"id of another request", func(w http.ResponseWriter, _, key string) { writeAnswer(w, "other", "acme", key) }, OutcomeWrong},
+		{"key of another request", func(w http.ResponseWriter, id, _ string) { writeAnswer(w, id, "acme", "other") }, OutcomeWrong},
+		{"account of another request", func(w http.ResponseWriter, id, key string) { writeAnswer(w, id, "other", key) }, OutcomeWrong},
+		{"truncated body", func(w http.ResponseWriter, id, _ string) {
 			w.Header().Set(HeaderClientID, id)
 			_, _ = w.Write([]byte(`{"account":"ac`))
 		}, OutcomeWrong},
@@ -102,19 +102,19 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 			_, _ = w.Write([]byte(`{}`))
 		}, "not-run rate-limited"},
-		{"error of the upstream", func(w http.ResponseWriter, id, key string) {
+		{"error response of the upstream", func(w http.ResponseWriter, id, key string) {
 			w.Header().Set(HeaderClientID, id)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_, _ = w.Write([]byte(`{"account":"acme","key":"` + key + `"}`))
 		}, OutcomeFailed},
-		{"cut connection", func(w http.ResponseWriter, _, _ string) {
+		{"connection closed within the body", func(w http.ResponseWriter, _, _ string) {
 			conn, _, _ := w.(http.Hijacker).Hijack()
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{"))
 			_ = conn.Close()
 		}, "unknown connection-lost"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			target := listen(t, func(w http.ResponseWriter, r *http.Request) { c.answer(w, r.Header.Get(HeaderClientID), keyOf(r)) })
+			target := serveTarget(t, func(w http.ResponseWriter, r *http.Request) { c.answer(w, r.Header.Get(HeaderClientID), requestKey(r)) })
 			cfg := testConfig(target)
 			cfg.MaxRequests = 3
 			if diff := cmp.Diff(map[string]int{c.want: 3}, runLoad(t, cfg).Outcomes); diff != "" {
@@ -124,46 +124,46 @@
 	}
 }
 
-// TestHistory guards against histories in which requests cannot be told apart or
-// that do not show the request that was sent.
+// TestHistory checks that each request has its own id and that the history shows
+// the request that was sent.
 func TestHistory(t *testing.T) {
 	type sent struct{ deadline, key, auth string }
 	var mu sync.Mutex
 	got := make(map[string]sent)
-	target := listen(t, func(w http.ResponseWriter, r *http.Request) {
+	target := serveTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(HeaderClientID)
 		mu.Lock()
-		got[id] = sent{r.Header.Get(fleet.HeaderDeadline), keyOf(r), r.Header.Get("Authorization")}
+		got[id] = sent{r.Header.Get(fleet.HeaderDeadline), requestKey(r), r.Header.Get("Authorization")}
 		mu.Unlock()
-		answer(w, id, "acme", keyOf(r))
+		writeAnswer(w, id, "acme", requestKey(r))
 	})
 	var history bytes.Buffer
 	cfg := testConfig(target)
 	cfg.History, cfg.Deadline, cfg.Delay = &history, 3*time.Second, 2*time.Millisecond
 	runLoad(t, cfg)
 	if lines := strings.Count(history.String(), "\n"); lines != cfg.MaxRequests || len(got) != cfg.MaxRequests {
-		t.Fatalf("%d lines and %d ids, want %d", lines, len(got), cfg.MaxRequests)
+		t.Fatalf("history has %d lines and target got %d ids, want %d of each", lines, len(got), cfg.MaxRequests)
 	}
 	for id, s := range got {
 		if !strings.Contains(history.String(), `"key":"`+s.key+`","client-id":"`+id+`"`) {
-			t.Errorf("no line with id %s and key %s", id, s.key)
+			t.Errorf("history has no line with id %s and key %s", id, s.key)
 		}
 		if ms, err := strconv.Atoi(s.deadline); err != nil || ms < 1 || ms > 3000 {
-			t.Errorf("deadline %q, want 1 to 3000", s.deadline)
+			t.Errorf("deadline is %q ms, want 1 to 3000", s.deadline)
 		}
 		if s.auth != "Bearer secret" {
-			t.Errorf("authorization %q", s.auth)
+			t.Errorf("Authorization is %q, want the caller key as bearer token", s.auth)
 		}
 	}
 }
 
-// TestTargets guards against load on an instance that fails its readiness check,
-// and against an account that does not prefer its target.
+// TestTargets checks that a target that fails its readiness check gets no
+// requests, and that an account sends most requests to its preferred target.
 func TestTargets(t *testing.T) {
 	var mu sync.Mutex
 	counts := make(map[string]int)
 	serve := func(name string, ready int) Target {
-		target := listen(t, func(w http.ResponseWriter, r *http.Request) {
+		target := serveTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/-/ready" {
 				w.WriteHeader(ready)
 				return
@@ -171,7 +171,7 @@
 			mu.Lock()
 			counts[name]++
 			mu.Unlock()
-			answer(w, r.Header.Get(HeaderClientID), "acme", keyOf(r))
+			writeAnswer(w, r.Header.Get(HeaderClientID), "acme", requestKey(r))
 		})
 		target.Name = name
 		return target
@@ -181,34 +181,34 @@
 	cfg.Accounts[0].Target, cfg.Accounts[0].Share = "b", 0.8
 	runLoad(t, cfg)
 	if counts["out"] != 0 || counts["a"] == 0 || counts["b"] < 3*counts["a"] {
-		t.Errorf("requests by target: %v; want none at out and most at b", counts)
+		t.Errorf("requests by target are %v, want none to out and most to b", counts)
 	}
 }
 
-// TestArrivals guards against a rate that differs from the configured one and
-// against hot keys that do not change.
+// TestArrivals checks that the arrival rate is the configured one and that the
+// hot keys change.
 func TestArrivals(t *testing.T) {
 	cfg := testConfig(Target{Name: "none", Addr: "127.0.0.1:1"})
 	cfg.MaxRequests, cfg.Duration = 0, 500*time.Millisecond
 	cfg.Accounts = append(cfg.Accounts, Account{ID: "large", Rate: 200, Times: 3})
 	s := runLoad(t, cfg)
 	if s.Requests < 600 || s.Requests > 1000 {
-		t.Errorf("%d requests in 500 ms at 1,600/s", s.Requests)
+		t.Errorf("%d requests in 500 ms at 1,600 requests/s, want 600 to 1,000", s.Requests)
 	}
-	if g := (&Generator{cfg: Config{HotChange: time.Second}}); g.epoch(2500*time.Millisecond) != 2 {
-		t.Error("the third period of hot keys did not begin after 2 s")
+	if g := (&Generator{cfg: Config{HotChange: time.Second}}); g.hotKeyEpoch(2500*time.Millisecond) != 2 {
+		t.Error("hot keys did not change twice within 2.5 s at an interval of 1 s")
 	}
 	p := newPicker(rand.New(rand.NewPCG(1, 1)), []Entry{{Keys: 100, Skew: 3}}, 1)
-	first, second := hottest(p, 0), hottest(p, 1)
+	first, second := hottestKey(p, 0), hottestKey(p, 1)
 	if first != "k0" || second == first {
-		t.Errorf("hottest keys %s and %s, want k0 and another", first, second)
+		t.Errorf("most requested keys are %s and %s, want k0 and another key", first, second)
 	}
 }
 
-func hottest(p *picker, epoch int) (best fleet.RoutingKey) {
+func hottestKey(p *picker, epoch int) (best fleet.RoutingKey) {
 	counts := make(map[fleet.RoutingKey]int)
 	for range 2000 {
-		counts[p.key(0, epoch)]++
+		counts[p.pickKey(0, epoch)]++
 	}
 	for k, n := range counts {
 		if n > counts[best] {
@@ -218,7 +218,8 @@
 	return best
 }
 
-// TestParse guards against fields that Format and Parse treat differently.
+// TestParse checks that parsing the result of Format gives the original value,
+// and that unknown fields are rejected.
 func TestParse(t *testing.T) {
 	target := Target{Name: "u", Addr: "127.0.0.1:1", Service: "lookup"}
 	account := Account{ID: "a", Key: "k", Rate: 1.5, Times: 3, Target: "u", Share: 0.5}
@@ -235,6 +236,6 @@
 		t.Errorf("parsed values differ (-want +got):\n%s", diff)
 	}
 	if _, err := ParseAccount("id=a;rat=1"); err == nil {
-		t.Error("an unknown field was accepted")
+		t.Error("ParseAccount accepted an unknown field")
 	}
 }
--- a/internal/standin/load/parse.go
+++ b/internal/standin/load/parse.go
@@ -9,61 +9,62 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/catalogue"
 )
 
-// parseFields reads "name=value;name=value".
-func parseFields(s string, set map[string]func(string) error) error {
+// parseFields parses "name=value;name=value" and calls the setter of each name.
+func parseFields(s string, setters map[string]func(string) error) error {
 	for part := range strings.SplitSeq(s, ";") {
 		name, value, ok := strings.Cut(part, "=")
-		f := set[name]
-		if !ok || f == nil {
-			return errors.Errorf("%q in %q: want name=value with a known name", part, s)
+		setter := setters[name]
+		if !ok || setter == nil {
+			return errors.Errorf("invalid field %q in %q: want name=value with a known name", part, s)
 		}
-		if err := f(value); err != nil {
-			return errors.Wrapf(err, "%q in %q", part, s)
+		if err := setter(value); err != nil {
+			return errors.Wrapf(err, "parse field %q in %q", part, s)
 		}
 	}
 	return nil
 }
 
-func text[T ~string](out *T) func(string) error {
+func stringSetter[T ~string](out *T) func(string) error {
 	return func(v string) error { *out = T(v); return nil }
 }
 
-func decimal(out *float64) func(string) error {
+func floatSetter(out *float64) func(string) error {
 	return func(v string) (err error) { *out, err = strconv.ParseFloat(v, 64); return err }
 }
 
-func whole(out *int) func(string) error {
+func intSetter(out *int) func(string) error {
 	return func(v string) (err error) { *out, err = strconv.Atoi(v); return err }
 }
 
-// ParseTarget reads "name=i1;addr=127.0.0.1:8080", with service=... for an
-// upstream.
+// ParseTarget parses a target such as "name=i1;addr=127.0.0.1:8080". An upstream
+// has the field service as well.
 func ParseTarget(s string) (t Target, err error) {
 	return t, parseFields(s, map[string]func(string) error{
-		"name": text(&t.Name), "addr": text(&t.Addr), "service": text(&t.Service),
+		"name": stringSetter(&t.Name), "addr": stringSetter(&t.Addr), "service": stringSetter(&t.Service),
 	})
 }
 
-// ParseAccount reads "id=a1;key=secret;rate=100", optionally with times=3 and
-// target=i1;share=0.5.
+// ParseAccount parses an account such as "id=a1;key=secret;rate=100", with the
+// optional fields "times=3" and "target=i1;share=0.5".
 func ParseAccount(s string) (a Account, err error) {
 	return a, parseFields(s, map[string]func(string) error{
-		"id": text(&a.ID), "key": text(&a.Key), "rate": decimal(&a.Rate), "times": decimal(&a.Times),
-		"target": text(&a.Target), "share": decimal(&a.Share),
+		"id": stringSetter(&a.ID), "key": stringSetter(&a.Key), "rate": floatSetter(&a.Rate), "times": floatSetter(&a.Times),
+		"target": stringSetter(&a.Target), "share": floatSetter(&a.Share),
 	})
 }
 
-// ParseEntry reads
+// ParseEntry parses an entry such as
 // "id=find;service=lookup;prefix=/lookup/;class=idempotent;weight=5;keys=2000;skew=1.1".
+// The defaults are class idempotent, weight 1 and 1000 keys.
 func ParseEntry(s string) (e Entry, err error) {
 	e = Entry{Class: catalogue.Idempotent, Weight: 1, Keys: 1000}
 	return e, parseFields(s, map[string]func(string) error{
-		"id": text(&e.ID), "service": text(&e.Service), "prefix": text(&e.Prefix), "class": text(&e.Class),
-		"weight": decimal(&e.Weight), "keys": whole(&e.Keys), "skew": decimal(&e.Skew),
+		"id": stringSetter(&e.ID), "service": stringSetter(&e.Service), "prefix": stringSetter(&e.Prefix), "class": stringSetter(&e.Class),
+		"weight": floatSetter(&e.Weight), "keys": intSetter(&e.Keys), "skew": floatSetter(&e.Skew),
 	})
 }
 
-// Format returns what ParseTarget reads.
+// Format returns the target in the syntax of ParseTarget.
 func (t Target) Format() string {
 	s := "name=" + t.Name + ";addr=" + t.Addr
 	if t.Service != "" {
@@ -72,22 +73,22 @@
 	return s
 }
 
-// Format returns what ParseAccount reads.
+// Format returns the account in the syntax of ParseAccount.
 func (a Account) Format() string {
-	s := "id=" + string(a.ID) + ";key=" + string(a.Key) + ";rate=" + number(a.Rate)
+	s := "id=" + string(a.ID) + ";key=" + string(a.Key) + ";rate=" + formatFloat(a.Rate)
 	if a.Times != 0 {
-		s += ";times=" + number(a.Times)
+		s += ";times=" + formatFloat(a.Times)
 	}
 	if a.Target != "" {
-		s += ";target=" + a.Target + ";share=" + number(a.Share)
+		s += ";target=" + a.Target + ";share=" + formatFloat(a.Share)
 	}
 	return s
 }
 
-// Format returns what ParseEntry reads.
+// Format returns the entry in the syntax of ParseEntry.
 func (e Entry) Format() string {
 	return "id=" + string(e.ID) + ";service=" + string(e.Service) + ";prefix=" + e.Prefix + ";class=" + string(e.Class) +
-		";weight=" + number(e.Weight) + ";keys=" + strconv.Itoa(e.Keys) + ";skew=" + number(e.Skew)
+		";weight=" + formatFloat(e.Weight) + ";keys=" + strconv.Itoa(e.Keys) + ";skew=" + formatFloat(e.Skew)
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
--- a/internal/standin/load/pick.go
+++ b/internal/standin/load/pick.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// zipfFlat flattens the head of the distribution, so that the hottest of
-	// 2,000 keys gets about 2% of the requests at skew 1.1.
-	zipfFlat = 10
-	// epochStride moves the hot ranks to other keys; it is prime, so ranks do not
-	// return to the same keys soon.
-	epochStride = 7919
+	// zipfOffset is the parameter v of rand.NewZipf. It flattens the head of the
+	// distribution, so that the most requested of 2,000 keys gets about 2% of the
+	// requests at skew 1.1.
+	zipfOffset = 10
+	// hotKeyStride shifts the mapping from ranks to keys whenever the hot keys
+	// change. It is prime, so that it takes many changes until a rank maps to the
+	// same key again.
+	hotKeyStride = 7919
 )
 
-// picker chooses entries and routing keys for one account.
+// picker draws random entries and routing keys for the requests of one account.
 type picker struct {
-	rng     *rand.Rand
-	entries []Entry
-	weights float64
-	zipf    []*rand.Zipf // nil: all keys alike
+	rng         *rand.Rand
+	entries     []Entry
+	totalWeight float64
+	zipf        []*rand.Zipf // by entry; nil means uniformly distributed keys
 }
 
-func newPicker(rng *rand.Rand, entries []Entry, weights float64) *picker {
-	p := &picker{rng: rng, entries: entries, weights: weights, zipf: make([]*rand.Zipf, len(entries))}
+func newPicker(rng *rand.Rand, entries []Entry, totalWeight float64) *picker {
+	p := &picker{rng: rng, entries: entries, totalWeight: totalWeight, zipf: make([]*rand.Zipf, len(entries))}
 	for i, e := range entries {
 		if e.Skew > 1 {
-			p.zipf[i] = rand.NewZipf(rng, e.Skew, zipfFlat, uint64(e.Keys-1))
+			p.zipf[i] = rand.NewZipf(rng, e.Skew, zipfOffset, uint64(e.Keys-1))
 		}
 	}
 	return p
 }
 
-// entry returns the index of an entry.
-func (p *picker) entry() int {
-	x := p.rng.Float64() * p.weights
+// pickEntry returns the index of a random entry, chosen by weight.
+func (p *picker) pickEntry() int {
+	x := p.rng.Float64() * p.totalWeight
 	for i, e := range p.entries {
 		if x -= e.Weight; x < 0 {
 			return i
@@ -45,7 +47,7 @@
 	return len(p.entries) - 1
 }
 
-func (p *picker) key(entry, epoch int) fleet.RoutingKey {
+func (p *picker) pickKey(entry, epoch int) fleet.RoutingKey {
 	keys := p.entries[entry].Keys
 	var rank int
 	if z := p.zipf[entry]; z != nil {
@@ -53,5 +55,5 @@
 	} else {
 		rank = p.rng.IntN(keys)
 	}
-	return fleet.RoutingKey("k" + strconv.Itoa((rank+epoch*epochStride)%keys))
+	return fleet.RoutingKey("k" + strconv.Itoa((rank+epoch*hotKeyStride)%keys))
 }
--- a/internal/standin/load/send.go
+++ b/internal/standin/load/send.go
@@ -14,37 +14,37 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// HeaderClientID carries the load generator's own id of a request.
+// HeaderClientID carries the id that the load generator gave to a request.
 const HeaderClientID = "X-Client-Id"
 
-// Outcomes of a request as its caller sees them.
+// Outcomes of a request from the caller's point of view.
 const (
 	OutcomeServed  = "served"
 	OutcomeNotRun  = string(fleet.NotRun)
 	OutcomeUnknown = string(fleet.Unknown)
-	OutcomeFailed  = "failed" // answered with an error that is not a refusal
-	OutcomeWrong   = "wrong"  // the answer belongs to another request or is damaged
+	OutcomeFailed  = "failed" // the response is an error but no refusal
+	OutcomeWrong   = "wrong"  // the response belongs to another request or is corrupt
 )
 
-// Reasons that the generator adds to those of refusals.
+// Reasons that the generator records in addition to those of refusals.
 const (
-	reasonGenerator = "generator-full"
-	reasonNotSent   = "not-sent"
-	reasonNoAnswer  = "no-answer"
-	reasonLost      = "connection-lost"
+	reasonGeneratorFull  = "generator-full"
+	reasonNotSent        = "not-sent"
+	reasonNoAnswer       = "no-answer"
+	reasonConnectionLost = "connection-lost"
 )
 
-// request is one arrival.
+// request is a request that has arrived at the generator.
 type request struct {
-	at      time.Time // planned arrival
-	account Account
-	entry   int
-	key     fleet.RoutingKey
-	id      string
-	target  Target
+	arrival    time.Time // scheduled arrival
+	account    Account
+	entryIndex int
+	key        fleet.RoutingKey
+	id         string
+	target     Target
 }
 
-// result is how a request ended.
+// result is the result of a request, as the history records it.
 type result struct {
 	end       time.Time
 	status    int
@@ -55,10 +55,10 @@
 }
 
 func (g *Generator) send(r request) result {
-	deadline := r.at.Add(g.cfg.Delay + g.cfg.Deadline)
-	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(answerMargin))
+	deadline := r.arrival.Add(g.cfg.Delay + g.cfg.Deadline)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(lateAnswerWait))
 	defer cancel()
-	res, err := g.pools[r.target.Name].Do(ctx, g.build(r, deadline))
+	res, err := g.pools[r.target.Name].Do(ctx, g.buildRequest(r, deadline))
 	out := result{end: time.Now()}
 	var notSent *http1.NotSentError
 	switch {
@@ -67,16 +67,16 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		out.outcome, out.reason = OutcomeUnknown, reasonNoAnswer
 	case err != nil:
-		out.outcome, out.reason = OutcomeUnknown, reasonLost
+		out.outcome, out.reason = OutcomeUnknown, reasonConnectionLost
 	default:
 		out.status, out.requestID = res.Status, res.Header.Get(fleet.HeaderRequestID)
-		out.judge(r, res)
+		out.classify(r, res)
 	}
 	return out
 }
 
-func (g *Generator) build(r request, deadline time.Time) *http1.Request {
-	e := g.cfg.Entries[r.entry]
+func (g *Generator) buildRequest(r request, deadline time.Time) *http1.Request {
+	e := g.cfg.Entries[r.entryIndex]
 	h := http.Header{}
 	h.Set(HeaderClientID, r.id)
 	h.Set(fleet.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
@@ -93,12 +93,12 @@
 	return req
 }
 
-// judge classifies an answer. Only an answer that echoes the request's id counts
-// as whole, except for refusals, which never reached an upstream or carry the
-// outcome in a header.
-func (out *result) judge(r request, res *http1.Response) {
-	if o := res.Header.Get(fleet.HeaderOutcome); o != "" {
-		out.outcome, out.reason = o, res.Header.Get(fleet.HeaderReason)
+// classify sets the outcome of a response. A response is whole only if it echoes
+// the request's id. Refusals, which have an outcome header, need not echo it,
+// because the request may not have reached an upstream.
+func (out *result) classify(r request, res *http1.Response) {
+	if outcome := res.Header.Get(fleet.HeaderOutcome); outcome != "" {
+		out.outcome, out.reason = outcome, res.Header.Get(fleet.HeaderReason)
 		echo := res.Header.Get(HeaderClientID)
 		out.whole = jx.Valid(res.Body) && (echo == "" || echo == r.id)
 		if !out.whole {
@@ -106,7 +106,7 @@
 		}
 		return
 	}
-	out.whole = res.Header.Get(HeaderClientID) == r.id && ownBody(res.Body, r)
+	out.whole = res.Header.Get(HeaderClientID) == r.id && bodyMatches(res.Body, r)
 	switch {
 	case !out.whole:
 		out.outcome = OutcomeWrong
@@ -117,8 +117,9 @@
 	}
 }
 
-// ownBody reports whether an upstream's body is intact and belongs to r.
-func ownBody(body []byte, r request) bool {
+// bodyMatches reports whether the body is valid JSON and names the account and
+// the routing key of r.
+func bodyMatches(body []byte, r request) bool {
 	var account, key string
 	err := jx.DecodeBytes(body).Obj(func(d *jx.Decoder, field string) (err error) {
 		switch field {
