--- a/internal/standin/load/direct.go
+++ b/internal/standin/load/direct.go
@@ -35,7 +35,6 @@
 }
 
 // SetUpstreamHeaders sets the headers that an upstream requires. Both fencing
-// tokens are 1, since the upstream does not check them. Both fencing
 // tokens are 1, since the upstream does not check them.
 func SetUpstreamHeaders(h http.Header, now time.Time, o Outgoing) {
 	h.Set(fleet.HeaderRequestID, o.ID)
