--- a/internal/standin/report/checks.go
+++ b/internal/standin/report/checks.go
@@ -12,13 +12,13 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// zoneGrace is how long an availability zone may still get new requests after
-// it was taken out of service (section 11 of the design).
+// zoneGrace is how long an availability zone may get new requests after the edit
+// that takes it out of service is in force (section 11 of the design).
 const zoneGrace = 3 * time.Second
 
-// checks returns the figures that must be 0.
+// checks computes the figures that must be 0.
 func (h *History) checks() []Figure {
-	over, where := h.aboveLimits()
+	over, where := h.excessOverLimits()
 	return []Figure{
 		mustBeZero("requests above a limit", float64(over), where),
 		mustBeZero("duplicates of non-idempotent requests", float64(h.duplicates()), ""),
@@ -26,7 +26,7 @@
 		mustBeZero("two owners at the same time", float64(h.twoOwners()), "pairs of executions of one unit or routing key"),
 		mustBeZero("wrong or short answers", float64(h.wrongAnswers()), ""),
 		mustBeZero("work above what an upstream bears", float64(h.overloads()), ""),
-		mustBeZero("requests in a zone out of service", float64(h.inZoneOut()), "started later than 3 s after the edit was in force"),
+		mustBeZero("requests in a zone out of service", float64(h.startsInZonesOut()), "started later than 3 s after the edit was in force"),
 		mustBeZero("caller keys seen by an upstream", float64(len(h.CallerKeys)), strings.Join(slices.Compact(slices.Sorted(slices.Values(h.CallerKeys))), ", ")),
 	}
 }
@@ -35,9 +35,10 @@
 	return Figure{Name: name, Value: v, Unit: "requests", MustBeZero: true, Note: note}
 }
 
-// class returns the class of each request, from its caller's line, or else from
-// the entries of the service if they all have the same class.
-func (h *History) class() func(x Execution) catalogue.Class {
+// classLookup returns a function that finds the class of an executed request. The
+// class is that of the request's call. Without a call, it is the class of the
+// service's entries if all have the same one, and otherwise empty.
+func (h *History) classLookup() func(x Execution) catalogue.Class {
 	byClient := make(map[string]catalogue.Class, len(h.Calls))
 	for _, c := range h.Calls {
 		byClient[c.Client] = c.Class
@@ -58,13 +59,13 @@
 	}
 }
 
-// duplicates counts effects of non-idempotent requests beyond the first. An
-// execution that was cut off may have had its effect, so it counts as one.
+// duplicates counts the repeated executions of non-idempotent requests. An
+// interrupted execution counts, because it may have taken effect.
 func (h *History) duplicates() (n int) {
-	class := h.class()
+	class := h.classLookup()
 	ran := make(map[string]int)
 	for _, x := range h.Executions {
-		if x.mayHaveRun() && class(x) == catalogue.NonIdempotent {
+		if x.mayHaveTakenEffect() && class(x) == catalogue.NonIdempotent {
 			if ran[x.Client]++; ran[x.Client] > 1 {
 				n++
 			}
@@ -73,13 +74,14 @@
 	return n
 }
 
-// mayHaveRun reports whether the request had its effect or was cut off.
-func (x Execution) mayHaveRun() bool { return x.Effect != 0 || x.End == 0 }
+// mayHaveTakenEffect reports whether the execution took effect or was interrupted
+// before its end was recorded.
+func (x Execution) mayHaveTakenEffect() bool { return x.Effect != 0 || x.End == 0 }
 
 func (h *History) falseRefusals() (n int) {
 	ran := make(map[string]bool)
 	for _, x := range h.Executions {
-		if x.mayHaveRun() {
+		if x.mayHaveTakenEffect() {
 			ran[x.Client] = true
 		}
 	}
@@ -109,7 +111,7 @@
 	return max(n, len(h.Overloads))
 }
 
-func (h *History) inZoneOut() (n int) {
+func (h *History) startsInZonesOut() (n int) {
 	zones := make(map[fleet.UpstreamID]string)
 	for _, u := range h.Run.Upstreams {
 		zones[u.ID] = string(u.Zone)
@@ -134,28 +136,28 @@
 	return n
 }
 
-// twoOwners counts pairs of executions that overlap in time, of one unit or one
-// routing key, at different upstreams or boots. Executions that the upstream
-// refused before their effect did no harm and are left out.
+// twoOwners counts the pairs of executions of the same unit or routing key that
+// overlap in time at different upstreams or boots. Executions that the upstream
+// refused before any effect are harmless and left out.
 func (h *History) twoOwners() int {
 	pairs := make(map[[2]int]bool)
 	byUnit, byKey := make(map[string][]int), make(map[string][]int)
 	for i, x := range h.Executions {
-		if x.mayHaveRun() {
+		if x.mayHaveTakenEffect() {
 			byUnit[x.Unit] = append(byUnit[x.Unit], i)
 			byKey[string(x.Service)+" "+string(x.Key)] = append(byKey[string(x.Service)+" "+string(x.Key)], i)
 		}
 	}
 	for _, groups := range []map[string][]int{byUnit, byKey} {
 		for _, group := range groups {
-			h.overlaps(group, pairs)
+			h.addOverlaps(group, pairs)
 		}
 	}
 	return len(pairs)
 }
 
-// until is when an execution can last have had its effect.
-func (h *History) until(x Execution) int64 {
+// latestEffect returns the latest time at which an execution can have taken effect.
+func (h *History) latestEffect(x Execution) int64 {
 	if x.Effect != 0 {
 		return x.Effect
 	}
@@ -168,12 +170,13 @@
 	return end
 }
 
-// overlaps adds the overlapping pairs of a group, which is in order of start.
-func (h *History) overlaps(group []int, pairs map[[2]int]bool) {
+// addOverlaps adds to pairs the overlapping executions of a group. The group holds
+// indexes of executions and is sorted by their start.
+func (h *History) addOverlaps(group []int, pairs map[[2]int]bool) {
 	var running []int
 	for _, i := range group {
 		x := h.Executions[i]
-		running = slices.DeleteFunc(running, func(j int) bool { return h.until(h.Executions[j]) <= x.Start })
+		running = slices.DeleteFunc(running, func(j int) bool { return h.latestEffect(h.Executions[j]) <= x.Start })
 		for _, j := range running {
 			if y := h.Executions[j]; x.Upstream != y.Upstream || x.Boot != y.Boot {
 				pairs[[2]int{j, i}] = true
@@ -183,30 +186,31 @@
 	}
 }
 
-// admission is the time between which and an execution's start the request was
-// admitted.
+// admission is the interval, in Unix nanoseconds, in which a request was admitted:
+// from its arrival to the start of its first execution.
 type admission struct{ earliest, start int64 }
 
-// aboveLimits returns by how many requests the worst windows of all limits
-// exceed burst + rate × window, and names the worst limit.
+// excessOverLimits returns the number of requests by which the worst window of
+// each limit exceeds burst + rate × window, summed over all limits, and describes
+// the worst limit.
 //
-// A request is admitted between its caller's t0 and the start of its first
-// execution. It counts in a window only if this whole interval lies inside: the
-// allowance for the time between admission and execution is thus each request's
-// own waiting time, and no more.
-func (h *History) aboveLimits() (total int, worst string) {
+// The exact time of an admission is not recorded. A request counts in a window
+// only if the window contains its whole admission interval, from its arrival to
+// the start of its first execution. The tolerance is thus the waiting time of each
+// request and no more.
+func (h *History) excessOverLimits() (total int, worst string) {
 	entries := make(map[string]fleet.EntryID)
 	arrived := make(map[string]int64)
 	for _, c := range h.Calls {
 		entries[c.Client], arrived[c.Client] = c.Entry, c.T0
 	}
 	byAccount, byEntry := make(map[fleet.AccountID][]admission), make(map[fleet.EntryID][]admission)
-	seen := make(map[string]bool)
+	counted := make(map[string]bool)
 	for _, x := range h.Executions {
-		if seen[x.Client] {
-			continue // another attempt of the same request
+		if counted[x.Client] {
+			continue // a repeated execution of the same request
 		}
-		seen[x.Client] = true
+		counted[x.Client] = true
 		a := admission{x.Start, x.Start}
 		if t0, ok := arrived[x.Client]; ok {
 			a.earliest = min(t0, x.Start)
@@ -214,15 +218,15 @@
 		byAccount[x.Account] = append(byAccount[x.Account], a)
 		byEntry[entries[x.Client]] = append(byEntry[entries[x.Client]], a)
 	}
-	most := 0
+	worstExcess := 0
 	count := func(name string, l fleet.Limit, in []admission) {
 		if l.Unlimited() {
 			return
 		}
 		n := excess(l, in)
 		total += n
-		if n > most {
-			most, worst = n, fmt.Sprintf("worst: %s, by %d", name, n)
+		if n > worstExcess {
+			worstExcess, worst = n, fmt.Sprintf("worst: %s, by %d", name, n)
 		}
 	}
 	for _, a := range h.Run.Accounts {
@@ -234,84 +238,84 @@
 	return total, worst
 }
 
-// excess returns by how many requests the worst window exceeds the limit. It
-// moves the end of the window over the starts and keeps, for each beginning x of
-// the window, count(x) + rate·x in a tree of maxima.
+// excess returns the number of requests by which the worst window exceeds the
+// limit, rounded up. It moves the end of the window over the execution starts and
+// keeps count(x) + rate·x for each start x of the window in a prefixMaxTree.
 func excess(l fleet.Limit, in []admission) int {
 	if len(in) == 0 {
 		return 0
 	}
 	slices.SortFunc(in, func(a, b admission) int { return cmp.Compare(a.start, b.start) })
-	begins := make([]int64, len(in))
+	windowStarts := make([]int64, len(in))
 	for i, a := range in {
-		begins[i] = a.earliest
+		windowStarts[i] = a.earliest
 	}
-	slices.Sort(begins)
+	slices.Sort(windowStarts)
 	perNano := float64(l.Rate) / float64(time.Second)
-	tree := newMaxima(len(begins), func(i int) float64 { return perNano * float64(begins[i]-begins[0]) })
+	tree := newPrefixMaxTree(len(windowStarts), func(i int) float64 { return perNano * float64(windowStarts[i]-windowStarts[0]) })
 	worst := 0.0
 	for _, a := range in {
-		own, _ := slices.BinarySearch(begins, a.earliest+1)
-		tree.addPrefix(own, 1)
-		inside, _ := slices.BinarySearch(begins, a.start+1)
-		v := tree.maxPrefix(inside) - perNano*float64(a.start-begins[0]) - float64(l.Burst)
+		startsUpToArrival, _ := slices.BinarySearch(windowStarts, a.earliest+1)
+		tree.addPrefix(startsUpToArrival, 1)
+		startsUpToEnd, _ := slices.BinarySearch(windowStarts, a.start+1)
+		v := tree.maxPrefix(startsUpToEnd) - perNano*float64(a.start-windowStarts[0]) - float64(l.Burst)
 		worst = max(worst, v)
 	}
-	// Rounding of the times to nanoseconds must not count as a request.
+	// Times are rounded to nanoseconds; the error must not count as a request.
 	return int(math.Ceil(worst - 1e-3))
 }
 
-// maxima is a tree over positions with addition to a prefix and the maximum of a
-// prefix, both in logarithmic time.
-type maxima struct {
-	size       int
-	most, lazy []float64
+// prefixMaxTree is a segment tree that adds a value to all positions of a prefix
+// and returns the maximum of a prefix, both in logarithmic time.
+type prefixMaxTree struct {
+	size          int
+	maximum, lazy []float64
 }
 
-func newMaxima(n int, value func(i int) float64) *maxima {
+func newPrefixMaxTree(n int, value func(i int) float64) *prefixMaxTree {
 	size := 1
 	for size < n {
 		size *= 2
 	}
-	t := &maxima{size: size, most: make([]float64, 2*size), lazy: make([]float64, 2*size)}
+	t := &prefixMaxTree{size: size, maximum: make([]float64, 2*size), lazy: make([]float64, 2*size)}
 	for i := range size {
-		t.most[size+i] = math.Inf(-1)
+		t.maximum[size+i] = math.Inf(-1)
 		if i < n {
-			t.most[size+i] = value(i)
+			t.maximum[size+i] = value(i)
 		}
 	}
 	for i := size - 1; i > 0; i-- {
-		t.most[i] = max(t.most[2*i], t.most[2*i+1])
+		t.maximum[i] = max(t.maximum[2*i], t.maximum[2*i+1])
 	}
 	return t
 }
 
-func (t *maxima) addPrefix(n int, v float64) { t.add(1, 0, t.size, n, v) }
+func (t *prefixMaxTree) addPrefix(n int, v float64) { t.add(1, 0, t.size, n, v) }
 
-func (t *maxima) add(node, lo, hi, n int, v float64) {
+func (t *prefixMaxTree) add(node, lo, hi, n int, v float64) {
 	if n <= lo {
 		return
 	}
 	if n >= hi {
-		t.most[node] += v
+		t.maximum[node] += v
 		t.lazy[node] += v
 		return
 	}
 	mid := (lo + hi) / 2
 	t.add(2*node, lo, mid, n, v)
 	t.add(2*node+1, mid, hi, n, v)
-	t.most[node] = max(t.most[2*node], t.most[2*node+1]) + t.lazy[node]
+	t.maximum[node] = max(t.maximum[2*node], t.maximum[2*node+1]) + t.lazy[node]
 }
 
-func (t *maxima) maxPrefix(n int) float64 { return t.find(1, 0, t.size, n) }
+func (t *prefixMaxTree) maxPrefix(n int) float64 { return t.query(1, 0, t.size, n) }
 
-func (t *maxima) find(node, lo, hi, n int) float64 {
+func (t *prefixMaxTree) query(node, lo, hi, n int) float64 {
 	if n <= lo {
 		return math.Inf(-1)
 	}
 	if n >= hi {
-		return t.most[node]
+		return t.maximum[node]
 	}
 	mid := (lo + hi) / 2
-	return max(t.find(2*node, lo, mid, n), t.find(2*node+1, mid, hi, n)) + t.lazy[node]
+	return max(t.query(2*node, lo, mid, n), t.query(2*node+1, mid, hi, n)) + t.lazy[node]
 }
--- a/internal/standin/report/checks_test.go
+++ b/internal/standin/report/checks_test.go
@@ -11,7 +11,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// testRun has two upstreams per service and one limited account.
+// testRun returns a run with two services of two upstreams each, one account with
+// a limit and one without.
 func testRun(events ...Event) Run {
 	return Run{
 		Name: "test", Services: []fleet.ServiceID{"lookup", "booking"},
@@ -25,7 +26,7 @@
 	}
 }
 
-// nanos converts a number of milliseconds.
+// nanos converts a decimal number of milliseconds to nanoseconds.
 func nanos(ms string) string {
 	if ms == "0" {
 		return ms
@@ -33,14 +34,14 @@
 	return ms + "000000"
 }
 
-// script builds a history. Each line is one of
+// parseHistory parses a history. Each line of text is one of
 //
 //	call ID T0 T1 ACCOUNT ENTRY KEY OUTCOME [REASON]
 //	run ID START END UPSTREAM KEY [refused|cut]
 //
-// with times in milliseconds. A run that is neither refused nor cut has its
-// effect at its end.
-func script(t *testing.T, run Run, text string) *History {
+// with times in milliseconds. A run line describes an execution. It takes effect
+// at END unless it is refused or cut, that is, interrupted without a recorded end.
+func parseHistory(t *testing.T, run Run, text string) *History {
 	t.Helper()
 	h := NewHistory(run)
 	var calls strings.Builder
@@ -95,8 +96,7 @@
 	return h
 }
 
-// TestChecks guards against checks that pass on a broken history, or fail on a
-// correct one.
+// TestChecks checks that each violation is found, and that correct histories pass.
 func TestChecks(t *testing.T) {
 	const (
 		above     = "requests above a limit"
@@ -124,14 +124,14 @@
 				run 3 2005 2015 booking-1 k cut`,
 		},
 		{
-			name: "idempotent request that ran twice is no duplicate",
+			name: "idempotent request executed twice is no duplicate",
 			history: `
 				call 1 0 40 acme find k served
 				run 1 5 15 lookup-1 k
 				run 1 20 30 lookup-1 k`,
 		},
 		{
-			name: "booking that ran twice",
+			name: "non-idempotent request executed twice",
 			history: `
 				call 1 0 40 acme book k served
 				run 1 5 15 booking-1 k
@@ -139,7 +139,7 @@
 			want: map[string]float64{duplicate: 1},
 		},
 		{
-			name: "booking that was cut off and ran again",
+			name: "non-idempotent request executed again after an interrupted execution",
 			history: `
 				call 1 0 40 acme book k served
 				run 1 5 15 booking-1 k cut
@@ -147,14 +147,14 @@
 			want: map[string]float64{duplicate: 1},
 		},
 		{
-			name: "refused as not run after its effect",
+			name: "refused as not-run after its effect",
 			history: `
 				call 1 0 40 acme book k not-run no-owner
 				run 1 5 15 booking-1 k`,
 			want: map[string]float64{ran: 1},
 		},
 		{
-			name: "refused as not run although it was cut off",
+			name: "refused as not-run after an interrupted execution",
 			history: `
 				call 1 0 40 acme book k not-run no-owner
 				run 1 5 15 booking-1 k cut`,
@@ -170,7 +170,7 @@
 			want: map[string]float64{owners: 1},
 		},
 		{
-			name: "the refused one of two overlapping executions does no harm",
+			name: "overlapping executions of which one was refused",
 			history: `
 				call 1 0 40 acme find k not-run no-owner
 				run 1 5 20 lookup-1 k refused
@@ -178,7 +178,7 @@
 				run 2 19 30 lookup-2 k`,
 		},
 		{
-			name:   "an execution cut off by the loss ends with it",
+			name:   "interrupted execution ends at the loss of its upstream",
 			events: []Event{{time.UnixMilli(10), UpstreamLost, "lookup-1"}},
 			history: `
 				call 1 0 40 acme find k unknown connection-lost
@@ -187,14 +187,14 @@
 				run 2 11 30 lookup-2 k`,
 		},
 		{
-			name: "answer of another request",
+			name: "response of another request",
 			history: `
 				call 1 0 20 acme find k wrong
 				run 1 5 15 lookup-1 k`,
 			want: map[string]float64{wrongOnes: 1},
 		},
 		{
-			name: "burst of 3 where 2 are allowed",
+			name: "burst of 3 requests at a limit of 2",
 			history: `
 				call 1 0 20 acme find a served
 				run 1 1 15 lookup-1 a
@@ -205,7 +205,7 @@
 			want: map[string]float64{above: 1},
 		},
 		{
-			name: "requests that waited after their admission",
+			name: "requests that waited between admission and execution",
 			history: `
 				call 1 0 2020 acme find a served
 				run 1 2000 2015 lookup-1 a
@@ -215,7 +215,7 @@
 				run 3 2000 2015 lookup-1 c`,
 		},
 		{
-			name: "a long window above the rate",
+			name: "long window above the rate",
 			history: `
 				call 1 0 20 acme find a served
 				run 1 1 15 lookup-1 a
@@ -228,7 +228,7 @@
 			want: map[string]float64{above: 1},
 		},
 		{
-			name:   "start in a zone that is out of service",
+			name:   "execution started in a zone out of service",
 			events: zoneOut,
 			history: `
 				call 1 3000 3020 acme find a served
@@ -243,7 +243,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := Compute(script(t, testRun(c.events...), c.history))
+			r := Compute(parseHistory(t, testRun(c.events...), c.history))
 			got := make(map[string]float64)
 			for _, f := range r.Broken() {
 				got[f.Name] = f.Value
@@ -258,38 +258,39 @@
 	}
 }
 
-// TestOverload guards against missing work that a cold upstream does not bear,
-// which shows as a count above the capacity or as an event.
+// TestOverload checks that work above the capacity of an upstream is found, both as
+// a start above the capacity and as an overload event.
 func TestOverload(t *testing.T) {
 	for _, line := range []string{
 		`{"t":5,"upstream":"u","boot":"b","event":"start","request-id":"r","unit":"lookup/1","concurrent":3,"bears":2}`,
 		`{"t":5,"upstream":"u","boot":"b","event":"overload","concurrent":3,"bears":2}`,
 	} {
-		h := script(t, testRun(), "call 1 0 20 acme find k served")
+		h := parseHistory(t, testRun(), "call 1 0 20 acme find k served")
 		if err := h.ReadUpstream(strings.NewReader(line + "\n")); err != nil {
 			t.Fatal(err)
 		}
 		if f, _ := Compute(h).Find("work above what an upstream bears"); f.Value != 1 {
-			t.Errorf("%s: found %v, want 1", line, f.Value)
+			t.Errorf("%s: work above capacity is %v, want 1", line, f.Value)
 		}
 	}
 }
 
-// TestPinnedKey guards against missing two owners of one routing key that is in a
-// shard at one upstream and pinned at another.
+// TestPinnedKey checks that two owners are found if a routing key belongs to a
+// shard at one upstream and is pinned at another.
 func TestPinnedKey(t *testing.T) {
-	h := script(t, testRun(), `
+	h := parseHistory(t, testRun(), `
 		call 1 0 40 acme find k served
 		run 1 5 20 lookup-1 k
 		call 2 0 40 acme find k served
 		run 2 19 30 lookup-2 k`)
 	h.Executions[0].Unit = "lookup/pin:k"
 	if f, _ := Compute(h).Find("two owners at the same time"); f.Value != 1 {
-		t.Errorf("found %v, want 1", f.Value)
+		t.Errorf("pairs with two owners: %v, want 1", f.Value)
 	}
 }
 
-// TestExcessAgainstAllWindows compares the sweep with a trial of every window.
+// TestExcessAgainstAllWindows compares excess with an exhaustive search over all
+// windows.
 func TestExcessAgainstAllWindows(t *testing.T) {
 	limit := fleet.Limit{Rate: 10, Burst: 3}
 	var in []admission
@@ -315,6 +316,6 @@
 	}
 	got := float64(excess(limit, in))
 	if worst <= 1 || got < worst || got >= worst+1 {
-		t.Errorf("excess is %v, want %v rounded up", got, worst)
+		t.Errorf("excess is %v, want %v rounded up, which must be above 1", got, worst)
 	}
 }
--- a/internal/standin/report/figures.go
+++ b/internal/standin/report/figures.go
@@ -12,10 +12,10 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// imbalance compares the busiest upstream of each service with the mean, by
-// executions in the steady time before the first event.
+// imbalance computes, for each service, the ratio of the executions at its busiest
+// upstream to the mean of its upstreams, over the steady period.
 func (h *History) imbalance() (out []Figure) {
-	from, to := h.steady()
+	from, to := h.steadyPeriod()
 	counts := make(map[fleet.UpstreamID]float64)
 	for _, x := range h.Executions {
 		if x.Start >= from && x.Start < to {
@@ -23,15 +23,15 @@
 		}
 	}
 	for _, s := range h.Run.Services {
-		var total, most, n float64
+		var total, busiest, n float64
 		for _, u := range h.Run.Upstreams {
 			if u.Service == s {
-				total, most, n = total+counts[u.ID], max(most, counts[u.ID]), n+1
+				total, busiest, n = total+counts[u.ID], max(busiest, counts[u.ID]), n+1
 			}
 		}
 		if total > 0 {
 			out = append(out, Figure{
-				Name: "imbalance " + string(s), Value: most * n / total, Unit: "ratio", Worse: Higher,
+				Name: "imbalance " + string(s), Value: busiest * n / total, Unit: "ratio", Worse: Higher,
 				Note: fmt.Sprintf("busiest upstream to the mean of %.0f, before the first event", n),
 			})
 		}
@@ -39,20 +39,20 @@
 	return out
 }
 
-// keyID is a routing key of a service.
+// keyID identifies a routing key of a service.
 type keyID struct {
 	service fleet.ServiceID
 	key     fleet.RoutingKey
 }
 
-// ownerChange is an execution of a key at another upstream than the one before.
+// ownerChange is a change of the upstream at which requests with a key take effect.
 type ownerChange struct {
 	at       int64
 	key      keyID
 	from, to fleet.UpstreamID
 }
 
-// ownerChanges follows the effects of each key.
+// ownerChanges returns the owner changes of all keys, sorted by time.
 func (h *History) ownerChanges() (out []ownerChange) {
 	last := make(map[keyID]fleet.UpstreamID)
 	for _, x := range h.Executions {
@@ -68,20 +68,21 @@
 	return out
 }
 
-// churnWindow is how long after a loss the changes of owners are attributed to
-// it.
+// churnWindow is the period after the loss of an upstream in which owner changes
+// are attributed to the loss.
 const churnWindow = 5 * time.Second
 
-// churn counts keys whose owner changed, as seen in the upstreams' histories. A
-// change is seen only when the key is used again.
+// churn computes the rate of owner changes, and for each lost upstream the ratio
+// of the keys that moved to the keys that had to move. It relies on the histories
+// of the upstreams and thus sees a change only when the key is used again.
 func (h *History) churn() (out []Figure) {
 	changes := h.ownerChanges()
 	from, to := h.span()
-	steadyFrom, steadyTo := h.steady()
-	steady := 0
+	steadyFrom, steadyTo := h.steadyPeriod()
+	steadyChanges := 0
 	for _, c := range changes {
 		if c.at >= steadyFrom && c.at < steadyTo {
-			steady++
+			steadyChanges++
 		}
 	}
 	perMinute := func(n int, from, to int64) float64 {
@@ -89,13 +90,13 @@
 	}
 	out = append(out,
 		Figure{Name: "churn", Value: perMinute(len(changes), from, to), Unit: "keys/min", Worse: Higher, Note: "keys whose owner changed, whole run"},
-		Figure{Name: "churn before the first event", Value: perMinute(steady, steadyFrom, steadyTo), Unit: "keys/min", Worse: Higher})
+		Figure{Name: "churn before the first event", Value: perMinute(steadyChanges, steadyFrom, steadyTo), Unit: "keys/min", Worse: Higher})
 	for _, e := range h.Run.Events {
 		if e.Kind != UpstreamLost {
 			continue
 		}
-		lost := h.keysOf(e)
-		moved, least := 0, 0
+		lost := h.keysOwnedAt(e)
+		moved, necessary := 0, 0
 		seen := make(map[keyID]bool)
 		for _, c := range changes {
 			if c.at <= e.At.UnixNano() || c.at > e.At.Add(churnWindow).UnixNano() || c.key.service != h.serviceOf(e.Name) || seen[c.key] {
@@ -104,13 +105,13 @@
 			seen[c.key] = true
 			moved++
 			if lost[c.key] {
-				least++
+				necessary++
 			}
 		}
-		if least > 0 {
+		if necessary > 0 {
 			out = append(out, Figure{
-				Name: "churn after loss of " + e.Name, Value: float64(moved) / float64(least), Unit: "ratio", Worse: Higher,
-				Note: fmt.Sprintf("%d keys of the service moved within %s, %d of them had to", moved, churnWindow, least),
+				Name: "churn after loss of " + e.Name, Value: float64(moved) / float64(necessary), Unit: "ratio", Worse: Higher,
+				Note: fmt.Sprintf("%d keys of the service moved within %s, %d of them had to", moved, churnWindow, necessary),
 			})
 		}
 	}
@@ -126,9 +127,9 @@
 	return ""
 }
 
-// keysOf returns the keys whose last effect before the loss was at the lost
+// keysOwnedAt returns the keys whose last effect before the loss e was at the lost
 // upstream.
-func (h *History) keysOf(e Event) map[keyID]bool {
+func (h *History) keysOwnedAt(e Event) map[keyID]bool {
 	owner := make(map[keyID]fleet.UpstreamID)
 	for _, x := range h.Executions {
 		if x.Effect != 0 && x.Start <= e.At.UnixNano() {
@@ -144,45 +145,50 @@
 	return out
 }
 
-// unavailable measures, for each key of a lost upstream, the time from the last
-// answer before the loss (or from the lost upstream itself) to the first answer
-// after it. The gap contains the key's ordinary time between two answers, which
-// limits the resolution. Keys whose median time between answers before the loss
-// is above samplingLimit are left out, and so are keys that were not asked for
-// (apart from rate-limited requests) within samplingLimit after the loss. The median of the others is reported as
-// the sampling limit. The gap of a key without an answer after the loss ends with
-// the run.
-func (h *History) unavailable() (out []Figure) {
-	for _, e := range h.Run.Events {
-		if e.Kind == UpstreamLost {
-			out = append(out, h.unavailableAfter(e)...)
+// unavailability computes how long the keys of each lost upstream were not served.
+//
+// The gap of a key is the time from its last served response before the loss, or
+// from the lost upstream, to the first one after the loss. If there is none after
+// the loss, the gap ends with the run. A gap includes the key's usual interval
+// between responses, which limits the resolution. Therefore keys are left out if
+// their median interval before the loss is above samplingLimit, or if no request
+// for them, other than rate-limited ones, arrived within samplingLimit after the
+// loss. The median of the other keys' median intervals is reported as the
+// sampling limit.
+func (h *History) unavailability() (out []Figure) {
+	for _, event := range h.Run.Events {
+		if event.Kind == UpstreamLost {
+			out = append(out, h.unavailabilityAfter(event)...)
 		}
 	}
 	return out
 }
 
-// samplingLimit is a quarter of the 2 s within which a key must be served again.
+// samplingLimit is the longest median interval between responses at which the gap
+// of a key is measured: a quarter of the 2 s within which a key must be served
+// again.
 const samplingLimit = 500 * time.Millisecond
 
-// answers are the times of a key's answers around a loss.
-type answers struct {
-	before       []int64
-	after        int64 // first one; 0: none
-	lastUnserved int64 // arrival of the last request that was not served
-	asked        bool  // within samplingLimit after the loss
+// keyAnswers holds the times of the served responses and the requests of a key
+// around a loss, in Unix nanoseconds.
+type keyAnswers struct {
+	beforeLoss         []int64
+	firstAfterLoss     int64 // first served response after the loss; 0 means none
+	lastUnserved       int64 // arrival of the last request that was not served
+	requestedAfterLoss bool  // a request arrived within samplingLimit after the loss
 }
 
-func (h *History) unavailableAfter(e Event) []Figure {
+func (h *History) unavailabilityAfter(e Event) []Figure {
 	at := e.At.UnixNano()
 	_, end := h.span()
-	keys := make(map[keyID]*answers)
-	for k := range h.keysOf(e) {
-		keys[k] = &answers{}
+	keys := make(map[keyID]*keyAnswers)
+	for k := range h.keysOwnedAt(e) {
+		keys[k] = &keyAnswers{}
 	}
-	atLost := make(map[string]bool)
+	servedByLost := make(map[string]bool)
 	for _, x := range h.Executions {
 		if string(x.Upstream) == e.Name && x.Effect != 0 && x.Start <= at {
-			atLost[x.Client] = true
+			servedByLost[x.Client] = true
 		}
 	}
 	for _, c := range h.Calls {
@@ -190,64 +196,65 @@
 		if a == nil {
 			continue
 		}
-		limited := c.Reason == string(fleet.ReasonRateLimited)
-		a.asked = a.asked || !limited && c.T0 > at && c.T0 <= at+int64(samplingLimit)
+		rateLimited := c.Reason == string(fleet.ReasonRateLimited)
+		a.requestedAfterLoss = a.requestedAfterLoss || !rateLimited && c.T0 > at && c.T0 <= at+int64(samplingLimit)
 		switch {
-		case c.Outcome == served && (c.T1 <= at || atLost[c.Client]):
-			a.before = append(a.before, c.T1)
+		case c.Outcome == served && (c.T1 <= at || servedByLost[c.Client]):
+			a.beforeLoss = append(a.beforeLoss, c.T1)
 		case c.Outcome == served:
-			if a.after == 0 || c.T1 < a.after {
-				a.after = c.T1
+			if a.firstAfterLoss == 0 || c.T1 < a.firstAfterLoss {
+				a.firstAfterLoss = c.T1
 			}
-		case c.T1 > at && !limited && c.T0 < e.At.Add(churnWindow).UnixNano():
+		case c.T1 > at && !rateLimited && c.T0 < e.At.Add(churnWindow).UnixNano():
 			a.lastUnserved = max(a.lastUnserved, c.T0)
 		}
 	}
-	var gaps, usual []float64
-	lastUnserved, never := int64(0), 0
+	var gaps, medianIntervals []float64
+	lastUnserved, neverServed := int64(0), 0
 	for _, a := range keys {
 		lastUnserved = max(lastUnserved, a.lastUnserved-at)
-		if len(a.before) == 0 || !a.asked {
+		if len(a.beforeLoss) == 0 || !a.requestedAfterLoss {
 			continue
 		}
-		between := a.between()
-		if !(between <= samplingLimit.Seconds()) { // also if it is not known
+		interval := a.medianInterval()
+		if !(interval <= samplingLimit.Seconds()) { // also true if interval is NaN
 			continue
 		}
-		usual = append(usual, between)
-		if a.after == 0 {
-			never++
-			a.after = end
+		medianIntervals = append(medianIntervals, interval)
+		if a.firstAfterLoss == 0 {
+			neverServed++
+			a.firstAfterLoss = end
 		}
-		gaps = append(gaps, seconds(a.after-a.before[len(a.before)-1]))
+		gaps = append(gaps, seconds(a.firstAfterLoss-a.beforeLoss[len(a.beforeLoss)-1]))
 	}
 	if len(gaps) == 0 {
 		return nil
 	}
 	name := "unavailable after loss of " + e.Name
 	return []Figure{
-		{Name: name + " p50", Value: quantile(gaps, 0.5), Unit: "s", Worse: Higher, Note: fmt.Sprintf("%d keys, %d never served again; last answer before to first after", len(gaps), never)},
+		{Name: name + " p50", Value: quantile(gaps, 0.5), Unit: "s", Worse: Higher, Note: fmt.Sprintf("%d keys, %d never served again; last answer before to first after", len(gaps), neverServed)},
 		{Name: name + " p99", Value: quantile(gaps, 0.99), Unit: "s", Worse: Higher},
 		{Name: name + " max", Value: quantile(gaps, 1), Unit: "s", Worse: Higher},
-		{Name: name + " sampling limit", Value: quantile(usual, 0.5), Unit: "s", Note: "median over the keys of the median time between two answers before the loss"},
+		{Name: name + " sampling limit", Value: quantile(medianIntervals, 0.5), Unit: "s", Note: "median over the keys of the median time between two answers before the loss"},
 		{Name: name + " last unserved arrival", Value: seconds(lastUnserved), Unit: "s", Worse: Higher, Note: "after the loss, within 5 s; rate-limited requests left out"},
 	}
 }
 
-// between returns the median time between two answers before the loss. It sorts
-// them.
-func (a *answers) between() float64 {
-	slices.Sort(a.before)
+// medianInterval sorts beforeLoss and returns the median time in seconds between
+// successive responses, or NaN if there are fewer than two.
+func (a *keyAnswers) medianInterval() float64 {
+	slices.Sort(a.beforeLoss)
 	var gaps []float64
-	for i := 1; i < len(a.before); i++ {
-		gaps = append(gaps, seconds(a.before[i]-a.before[i-1]))
+	for i := 1; i < len(a.beforeLoss); i++ {
+		gaps = append(gaps, seconds(a.beforeLoss[i]-a.beforeLoss[i-1]))
 	}
 	return quantile(gaps, 0.5)
 }
 
 func seconds(nanos int64) float64 { return float64(nanos) / 1e9 }
 
-// quantile returns the smallest value that at least the share q does not exceed.
+// quantile sorts v and returns its smallest element that is not less than a
+// fraction q of the elements, or NaN if v is empty.
 func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return math.NaN()
@@ -256,10 +263,10 @@
 	return v[min(len(v)-1, max(0, int(math.Ceil(q*float64(len(v))))-1))]
 }
 
-// latency gives percentiles of the served requests, in the steady time and over
-// the whole run.
+// latency computes latency percentiles of the served requests by class, over the
+// whole run and over the steady period.
 func (h *History) latency() (out []Figure) {
-	from, to := h.steady()
+	from, to := h.steadyPeriod()
 	for _, period := range []struct {
 		name     string
 		from, to int64
@@ -288,20 +295,21 @@
 	return out
 }
 
-// outside gives percentiles of the steady latency without the execution at the
-// upstream, which removes the spread of the service times.
-func (h *History) outside() (out []Figure) {
-	from, to := h.steady()
-	took := make(map[string]int64, len(h.Executions))
+// latencyOutsideUpstream computes percentiles of the latency minus the execution
+// time at the upstream, over the steady period. Unlike the whole latency, it does
+// not vary with the service times.
+func (h *History) latencyOutsideUpstream() (out []Figure) {
+	from, to := h.steadyPeriod()
+	executionTimes := make(map[string]int64, len(h.Executions))
 	for _, x := range h.Executions {
 		if x.Effect != 0 && x.End != 0 {
-			took[x.Client] = x.End - x.Start
+			executionTimes[x.Client] = x.End - x.Start
 		}
 	}
 	for _, class := range []catalogue.Class{catalogue.Idempotent, catalogue.NonIdempotent} {
 		var v []float64
 		for _, c := range h.Calls {
-			if t, ok := took[c.Client]; ok && c.Class == class && c.Outcome == served && c.T0 >= from && c.T0 < to {
+			if t, ok := executionTimes[c.Client]; ok && c.Class == class && c.Outcome == served && c.T0 >= from && c.T0 < to {
 				v = append(v, float64(c.T1-c.T0-t)/1e6)
 			}
 		}
@@ -320,32 +328,32 @@
 	return out
 }
 
-// bucket replays the ideal token bucket of a limit.
+// bucket is a single token bucket that enforces a limit exactly.
 type bucket struct {
-	limit  fleet.Limit
-	level  float64
-	filled int64
+	limit      fleet.Limit
+	tokens     float64
+	refilledAt int64 // Unix nanoseconds; 0 before the first refill
 }
 
-func newBucket(l fleet.Limit) *bucket { return &bucket{limit: l, level: float64(l.Burst)} }
+func newBucket(l fleet.Limit) *bucket { return &bucket{limit: l, tokens: float64(l.Burst)} }
 
-// has refills up to now and reports whether a token is left.
-func (b *bucket) has(now int64) bool {
+// refill adds the tokens up to now and reports whether at least one is available.
+func (b *bucket) refill(now int64) bool {
 	if b.limit.Unlimited() {
 		return true
 	}
-	if b.filled != 0 && now > b.filled {
-		b.level = min(float64(b.limit.Burst), b.level+seconds(now-b.filled)*float64(b.limit.Rate))
+	if b.refilledAt != 0 && now > b.refilledAt {
+		b.tokens = min(float64(b.limit.Burst), b.tokens+seconds(now-b.refilledAt)*float64(b.limit.Rate))
 	}
-	b.filled = now
-	return b.level >= 1
+	b.refilledAt = now
+	return b.tokens >= 1
 }
 
-func (b *bucket) take() { b.level-- }
+func (b *bucket) take() { b.tokens-- }
 
-// inside marks the calls that one token bucket per limit, fed by the arrivals,
-// would have admitted.
-func (h *History) inside() []bool {
+// admissible returns, for each call, whether it would be admitted if one token
+// bucket per account and one per entry were applied to the arrivals.
+func (h *History) admissible() []bool {
 	accounts, entries := make(map[fleet.AccountID]*bucket), make(map[fleet.EntryID]*bucket)
 	for _, a := range h.Run.Accounts {
 		accounts[a.ID] = newBucket(a.Limit)
@@ -359,7 +367,7 @@
 		if a == nil || e == nil {
 			continue
 		}
-		if first, second := a.has(c.T0), e.has(c.T0); first && second {
+		if first, second := a.refill(c.T0), e.refill(c.T0); first && second {
 			a.take()
 			e.take()
 			out[i] = true
@@ -368,71 +376,74 @@
 	return out
 }
 
-// share is what an account offered and got.
-type share struct {
-	offered, inside, limited, served float64
-	weighedInside, weighedServed     float64
+// accountTotals counts the requests of an account: those offered, those that ideal
+// token buckets would admit, those refused by a limit and those served. The
+// weighted totals use the weights of the entries.
+type accountTotals struct {
+	offered, withinRate, rateLimited, served float64
+	weightedWithinRate, weightedServed       float64
 }
 
-// service gives the figures of served shares. An account's requests inside its
-// rate are counted, not identified: the router may serve another of its requests
-// than the ideal bucket would.
-func (h *History) service() []Figure {
+// servedShares computes which share of the requests within the limits was served.
+// It compares numbers of requests per account, not individual requests, because
+// the router may admit other requests of an account than the ideal buckets do.
+func (h *History) servedShares() []Figure {
 	weights := make(map[fleet.EntryID]float64)
 	for _, e := range h.Run.Entries {
 		weights[e.ID] = e.Weight
 	}
-	shares := make(map[fleet.AccountID]*share)
-	inside := h.inside()
+	totals := make(map[fleet.AccountID]*accountTotals)
+	admissible := h.admissible()
 	for i, c := range h.Calls {
-		s := shares[c.Account]
+		s := totals[c.Account]
 		if s == nil {
-			s = &share{}
-			shares[c.Account] = s
+			s = &accountTotals{}
+			totals[c.Account] = s
 		}
 		s.offered++
-		if inside[i] {
-			s.inside++
-			s.weighedInside += weights[c.Entry]
+		if admissible[i] {
+			s.withinRate++
+			s.weightedWithinRate += weights[c.Entry]
 		}
 		if c.Outcome == served {
 			s.served++
-			s.weighedServed += weights[c.Entry]
+			s.weightedServed += weights[c.Entry]
 		}
 		if c.Outcome == notRun && (c.Reason == string(fleet.ReasonRateLimited) || c.Reason == string(fleet.ReasonLimitUnavailable)) {
-			s.limited++
+			s.rateLimited++
 		}
 	}
-	var limited, refused, in, weighedIn, weighed float64
-	worst, who := math.Inf(1), fleet.AccountID("")
-	for id, s := range shares {
-		limited += max(0, s.inside-(s.offered-s.limited))
-		refused += max(0, s.inside-s.served)
-		in += s.inside
-		weighedIn += s.weighedInside
-		weighed += min(s.weighedServed, s.weighedInside)
-		if got := min(1, s.served/s.inside); s.inside > 0 && (got < worst || got == worst && id < who) {
-			worst, who = got, id
+	var limited, notServed, withinRate, weightedWithinRate, weightedServed float64
+	worstShare, worstAccount := math.Inf(1), fleet.AccountID("")
+	for id, s := range totals {
+		limited += max(0, s.withinRate-(s.offered-s.rateLimited))
+		notServed += max(0, s.withinRate-s.served)
+		withinRate += s.withinRate
+		weightedWithinRate += s.weightedWithinRate
+		weightedServed += min(s.weightedServed, s.weightedWithinRate)
+		if got := min(1, s.served/s.withinRate); s.withinRate > 0 && (got < worstShare || got == worstShare && id < worstAccount) {
+			worstShare, worstAccount = got, id
 		}
 	}
-	if in == 0 {
+	if withinRate == 0 {
 		return nil
 	}
 	return []Figure{
-		{Name: "service figure", Value: weighed / weighedIn, Unit: "share", Worse: Lower, Note: "served share of the requests inside the rate, with the entries' weights"},
-		{Name: "worst-served account", Value: worst, Unit: "share", Worse: Lower, Note: string(who) + ": served share of what it offered inside its rate"},
+		{Name: "service figure", Value: weightedServed / weightedWithinRate, Unit: "share", Worse: Lower, Note: "served share of the requests inside the rate, with the entries' weights"},
+		{Name: "worst-served account", Value: worstShare, Unit: "share", Worse: Lower, Note: string(worstAccount) + ": served share of what it offered inside its rate"},
 		{Name: "refused by limits inside the rate", Value: limited, Unit: "requests", Worse: Higher},
-		{Name: "not served inside the rate", Value: refused, Unit: "requests", Worse: Higher, Note: fmt.Sprintf("of %.0f", in)},
+		{Name: "not served inside the rate", Value: notServed, Unit: "requests", Worse: Higher, Note: fmt.Sprintf("of %.0f", withinRate)},
 	}
 }
 
-// zoneService gives the served share while a zone leaves, is out, and returns.
-func (h *History) zoneService() (out []Figure) {
+// zoneServedShare computes, for each zone that was taken out of service, the served
+// share of requests from its removal until after its return.
+func (h *History) zoneServedShare() (out []Figure) {
 	for i, e := range h.Run.Events {
 		if e.Kind != ZoneOut {
 			continue
 		}
-		// The edit was accepted before it came into force.
+		// The edit was accepted before it came into force, so the period starts 1 s earlier.
 		from, to := e.At.Add(-time.Second).UnixNano(), int64(math.MaxInt64)
 		for _, back := range h.Run.Events[i:] {
 			if back.Kind == ZoneIn && back.Name == e.Name {
@@ -440,18 +451,18 @@
 				break
 			}
 		}
-		offered, got := 0.0, 0.0
+		offered, servedCount := 0.0, 0.0
 		for _, c := range h.Calls {
 			if c.T0 >= from && c.T0 < to && c.Reason != string(fleet.ReasonRateLimited) {
 				offered++
 				if c.Outcome == served {
-					got++
+					servedCount++
 				}
 			}
 		}
 		if offered > 0 {
 			out = append(out, Figure{
-				Name: "served while zone " + e.Name + " is out", Value: got / offered, Unit: "share", Worse: Lower,
+				Name: "served while zone " + e.Name + " is out", Value: servedCount / offered, Unit: "share", Worse: Lower,
 				Note: "from 1 s before the edit was in force to 5 s after the return; rate-limited requests left out",
 			})
 		}
@@ -459,7 +470,7 @@
 	return out
 }
 
-// outcomes counts how the calls ended.
+// outcomes counts the calls by outcome and reason.
 func (h *History) outcomes() []Figure {
 	counts := make(map[string]float64)
 	var unknowns float64
--- a/internal/standin/report/figures_test.go
+++ b/internal/standin/report/figures_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestFigures guards against wrong arithmetic of the measured figures.
+// TestFigures checks the values of figures of small histories.
 func TestFigures(t *testing.T) {
 	lost := []Event{{time.UnixMilli(1000), UpstreamLost, "lookup-1"}}
 	for _, c := range []struct {
@@ -23,9 +23,9 @@
 		{
 			name:   "loss of an upstream",
 			events: lost,
-			// Key a had to move, key b moved without need; the answer to 3 arrives after
-			// the loss but comes from the lost upstream.
-			// Key c was only asked for by a rate-limited request soon after the loss.
+			// Key a had to move, key b moved unnecessarily. The response to call 3 arrives
+			// after the loss but comes from the lost upstream. The only request for key c
+			// soon after the loss was rate-limited, so key c is left out.
 			history: `
 				call 1 400 500 free find a served
 				run 1 410 490 lookup-1 a
@@ -55,7 +55,7 @@
 			},
 		},
 		{
-			name: "account above its rate and an account without a limit",
+			name: "account above its rate and account without a limit",
 			history: `
 				call 1 0 10 acme find a served
 				run 1 1 9 lookup-1 a
@@ -76,7 +76,7 @@
 			},
 		},
 		{
-			name: "refusal of a limit inside the rate",
+			name: "refused by a limit within the rate",
 			history: `
 				call 1 0 10 acme find a not-run rate-limited
 				call 2 1 11 acme find a served
@@ -89,7 +89,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := Compute(script(t, testRun(c.events...), c.history))
+			r := Compute(parseHistory(t, testRun(c.events...), c.history))
 			for name, want := range c.want {
 				if f, ok := r.Find(name); !ok || math.Abs(f.Value-want) > 0.01 {
 					t.Errorf("%s: %v (found %v), want %v", name, f.Value, ok, want)
@@ -99,10 +99,10 @@
 	}
 }
 
-// TestChurnAfterLoss guards against counting moves that the loss did not cause as
-// needed.
+// TestChurnAfterLoss checks that moves of keys that the lost upstream did not own
+// are not counted as necessary.
 func TestChurnAfterLoss(t *testing.T) {
-	h := script(t, testRun(Event{time.UnixMilli(1000), UpstreamLost, "lookup-1"}), `
+	h := parseHistory(t, testRun(Event{time.UnixMilli(1000), UpstreamLost, "lookup-1"}), `
 		call 1 0 100 free find a served
 		run 1 10 90 lookup-1 a
 		call 2 0 100 free find b served
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestEncode guards against reports that cannot be compared later.
+// TestEncode checks that an encoded report can be decoded and compared.
 func TestEncode(t *testing.T) {
-	r := Compute(script(t, testRun(Event{time.UnixMilli(50), UpstreamLost, "lookup-1"}), "call 1 0 20 acme find k served\nrun 1 5 15 lookup-1 k"))
+	r := Compute(parseHistory(t, testRun(Event{time.UnixMilli(50), UpstreamLost, "lookup-1"}), "call 1 0 20 acme find k served\nrun 1 5 15 lookup-1 k"))
 	got, err := Decode(r.Encode())
 	if err != nil {
 		t.Fatal(err)
@@ -132,12 +132,13 @@
 		}
 	}
 	if n := strings.Count(got.Compare(r), " worse\n"); n != 1 {
-		t.Errorf("%d figures judged worse, want 1:\n%s", n, got.Compare(r))
+		t.Errorf("%d figures are rated worse, want 1:\n%s", n, got.Compare(r))
 	}
 }
 
-// TestRead guards against a run's description that is lost on its way, checks over
-// no data, and a killed process's last line.
+// TestRead checks that the description of a run is read as written, that a run
+// without histories is an error, and that an incomplete last line, as a killed
+// process leaves it, is ignored.
 func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	run := testRun(Event{time.Unix(0, 1_700_000_000_123_456_789), ZoneOut, "b"})
@@ -145,7 +146,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(dir, dir); err == nil {
-		t.Error("a run without histories was accepted")
+		t.Error("Read accepted a run without histories")
 	}
 	const call = `{"t0":1,"t1":9,"account":"acme","entry":"find","class":"idempotent","client-id":"1","outcome":"served","whole":true}` + "\n"
 	const start = `{"t":2,"upstream":"u","boot":"b","event":"start","request-id":"r","client-id":"1","unit":"lookup/1"}` + "\n"
--- a/internal/standin/report/history.go
+++ b/internal/standin/report/history.go
@@ -18,7 +18,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Call is a request as its caller saw it. Times are Unix nanoseconds.
+// Call is a request as its load generator recorded it. T0 is the scheduled
+// arrival and T1 the end, both in Unix nanoseconds.
 type Call struct {
 	T0, T1   int64
 	Instance string
@@ -27,41 +28,42 @@
 	Service  fleet.ServiceID
 	Class    catalogue.Class
 	Key      fleet.RoutingKey
-	Client   string // the caller's id of the request
+	Client   string // id that the load generator gave to the request
 	Status   int
 	Outcome  string
 	Reason   string
-	Whole    bool
+	Whole    bool // the response was complete and belonged to this request
 }
 
-// Execution is a run of a request at an upstream.
+// Execution is one execution of a request at an upstream. Times are Unix
+// nanoseconds.
 type Execution struct {
-	Client   string
+	Client   string // id that the load generator gave to the request
 	Account  fleet.AccountID
 	Service  fleet.ServiceID
 	Key      fleet.RoutingKey
-	Unit     string
+	Unit     string // unit of ownership: a shard or a pinned key of the service
 	Upstream fleet.UpstreamID
 	Boot     fleet.BootID
 	Start    int64
-	Effect   int64 // 0: none
-	End      int64 // 0: the history ends before
-	Refused  bool  // the upstream said not-run before the effect
+	Effect   int64 // time of the effect; 0 means none was recorded
+	End      int64 // 0 means that no end was recorded
+	Refused  bool  // the upstream refused the request as not-run before any effect
 
-	Concurrent, Bears int // when it started
+	Concurrent, Bears int // number of executions and the upstream's capacity for them, both at Start
 }
 
-// History is everything that a run recorded.
+// History holds all records of a run.
 type History struct {
 	Run        Run
-	Calls      []Call      // by T0
-	Executions []Execution // by Start
-	Overloads  []int64     // times at which an upstream was given more than it bears
-	CallerKeys []string    // where upstreams found caller keys
-	LastEvent  map[fleet.BootID]int64
+	Calls      []Call                 // sorted by T0
+	Executions []Execution            // sorted by Start
+	Overloads  []int64                // times, in Unix nanoseconds, at which an upstream reported more work than its capacity
+	CallerKeys []string               // parts of requests in which upstreams found caller keys
+	LastEvent  map[fleet.BootID]int64 // Unix nanoseconds of the last record of each boot of an upstream
 }
 
-// Outcomes as the load generator writes them.
+// Outcomes that the load generator records.
 const (
 	served  = load.OutcomeServed
 	notRun  = load.OutcomeNotRun
@@ -69,13 +71,14 @@
 	wrong   = load.OutcomeWrong
 )
 
-// Read reads the description and the callers' histories (load*.jsonl) in dir, and
-// the histories of the upstreams (upstream-*.jsonl) in upstreams. Executions
-// outside the time of the calls belong to another phase and are left out.
+// Read reads the description of a run and the histories of its load generators
+// (load*.jsonl) from dir, and the histories of the upstreams (upstream-*.jsonl)
+// from the directory upstreams. Executions that started before the first call or
+// after the end of the last one belong to another phase and are omitted.
 func Read(dir, upstreams string) (*History, error) {
 	data, err := os.ReadFile(filepath.Join(dir, RunFile))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the run's description")
+		return nil, errors.Wrap(err, "read run description")
 	}
 	run, err := decodeRun(data)
 	if err != nil {
@@ -96,17 +99,18 @@
 			}
 		}
 	}
-	h.cut()
-	// Checks over an empty history would pass without having checked anything.
+	h.dropOutsideSpan()
+	// The checks would pass on an empty history without checking anything.
 	if len(h.Calls) == 0 || len(h.Executions) == 0 {
-		return nil, errors.Errorf("%s holds %d calls and %d executions: want both", dir, len(h.Calls), len(h.Executions))
+		return nil, errors.Errorf("history in %s has %d calls and %d executions, want at least one of each", dir, len(h.Calls), len(h.Executions))
 	}
 	h.sort()
 	return h, nil
 }
 
-// cut removes the executions outside the time of the calls.
-func (h *History) cut() {
+// dropOutsideSpan removes executions and overloads before the first call or after
+// the end of the last one.
+func (h *History) dropOutsideSpan() {
 	if len(h.Calls) == 0 {
 		return
 	}
@@ -116,7 +120,7 @@
 	h.Overloads = slices.DeleteFunc(h.Overloads, func(t int64) bool { return !inside(t) })
 }
 
-// NewHistory returns a history without events.
+// NewHistory returns an empty history of the run.
 func NewHistory(run Run) *History {
 	return &History{Run: run, LastEvent: make(map[fleet.BootID]int64)}
 }
@@ -148,9 +152,9 @@
 	return 0
 }
 
-// lines calls f for each whole line. A killed process may leave a last line
-// without its end, which is ignored.
-func lines(r io.Reader, f func(line []byte) error) error {
+// forEachLine calls f for each line that ends in a newline. A last line without
+// one is ignored, because a killed process may leave an incomplete line.
+func forEachLine(r io.Reader, f func(line []byte) error) error {
 	br := bufio.NewReaderSize(r, 1<<16)
 	for n := 1; ; n++ {
 		line, err := br.ReadBytes('\n')
@@ -169,9 +173,9 @@
 	}
 }
 
-// ReadCalls adds the history of a load generator.
+// ReadCalls reads the history of a load generator and adds its calls.
 func (h *History) ReadCalls(r io.Reader) error {
-	return lines(r, func(line []byte) error {
+	return forEachLine(r, func(line []byte) error {
 		var c Call
 		if err := decodeObject(line, map[string]any{
 			"t0": &c.T0, "t1": &c.T1, "instance": &c.Instance, "account": (*string)(&c.Account),
@@ -207,8 +211,8 @@
 	})
 }
 
-// event is a line of an upstream's history.
-type event struct {
+// upstreamEvent is one line of the history of an upstream.
+type upstreamEvent struct {
 	t                     int64
 	upstream, boot, event string
 	request, client       string
@@ -217,14 +221,15 @@
 	detail                string
 }
 
-// ReadUpstream adds the history of one upstream. Lines are in order of time, and
-// the effect or refusal of a started request is directly before its end; so a
-// refusal without an end belongs to a request that never started.
+// ReadUpstream reads the history of one upstream and adds its executions. The
+// lines must be sorted by time, and the effect or refusal of a started request
+// must directly precede its end. A refusal without an end belongs to a request
+// that never started.
 func (h *History) ReadUpstream(r io.Reader) error {
-	open := make(map[string][]int) // started executions by boot and request id
-	var last event
-	return lines(r, func(line []byte) error {
-		var v event
+	running := make(map[string][]int) // indexes of the executions without an end, by boot and request id
+	var last upstreamEvent
+	return forEachLine(r, func(line []byte) error {
+		var v upstreamEvent
 		if err := decodeObject(line, map[string]any{
 			"t": &v.t, "upstream": &v.upstream, "boot": &v.boot, "event": &v.event, "request-id": &v.request,
 			"client-id": &v.client, "account": &v.account, "key": &v.key, "unit": &v.unit,
@@ -236,18 +241,18 @@
 		id := v.boot + " " + v.request
 		switch v.event {
 		case "start":
-			open[id] = append(open[id], len(h.Executions))
+			running[id] = append(running[id], len(h.Executions))
 			h.Executions = append(h.Executions, v.execution())
 		case "overload":
 			h.Overloads = append(h.Overloads, v.t)
 		case "caller-key":
 			h.CallerKeys = append(h.CallerKeys, v.detail)
 		case "end":
-			if len(open[id]) == 0 {
-				return errors.Errorf("request %q ends without a start", v.request)
+			if len(running[id]) == 0 {
+				return errors.Errorf("request %q has an end without a start", v.request)
 			}
-			x := &h.Executions[open[id][0]]
-			open[id] = open[id][1:]
+			x := &h.Executions[running[id][0]]
+			running[id] = running[id][1:]
 			x.End = v.t
 			if last.boot == v.boot && last.request == v.request {
 				x.Refused = last.event == "refuse"
@@ -256,9 +261,9 @@
 				}
 			}
 		case "effect":
-			// Without an end after it, the process was killed in between.
-			if len(open[id]) > 0 {
-				h.Executions[open[id][0]].Effect = v.t
+			// The process may have been killed before it recorded the end.
+			if len(running[id]) > 0 {
+				h.Executions[running[id][0]].Effect = v.t
 			}
 		}
 		last = v
@@ -266,7 +271,7 @@
 	})
 }
 
-func (v event) execution() Execution {
+func (v upstreamEvent) execution() Execution {
 	service, _, _ := strings.Cut(v.unit, "/")
 	client := v.client
 	if client == "" {
@@ -279,7 +284,7 @@
 	}
 }
 
-// span returns the time of the first arrival and the last answer.
+// span returns the times of the first arrival and of the last end of a call.
 func (h *History) span() (from, to int64) {
 	from = h.Calls[0].T0
 	for _, c := range h.Calls {
@@ -289,9 +294,9 @@
 	return from, to
 }
 
-// steady returns the time before the first event, without the first 2 s, in
-// which upstreams are still warming.
-func (h *History) steady() (from, to int64) {
+// steadyPeriod returns the period before the first event. It omits the first 2 s,
+// in which upstreams are still warming up, unless the first event is earlier.
+func (h *History) steadyPeriod() (from, to int64) {
 	from, to = h.span()
 	for _, e := range h.Run.Events {
 		to = min(to, e.At.UnixNano())
--- a/internal/standin/report/report.go
+++ b/internal/standin/report/report.go
@@ -1,10 +1,11 @@
-// Package report computes the figures of a run from the histories of its callers
-// and its upstreams, and compares them with those of another run.
+// Package report computes the figures of a test run from the histories that the
+// load generators and the upstreams recorded, and compares them with those of
+// another run.
 //
-// The histories are written by the test doubles on one machine, so their clocks
-// agree. A figure that must be 0 reports a broken guarantee otherwise. Its check
-// errs towards reporting: an execution that was cut off counts as one that had
-// its effect.
+// All histories are written on one machine, so that their timestamps are
+// comparable. Some figures must be 0; any other value shows a violated guarantee.
+// Their checks are conservative: an execution that was interrupted counts as one
+// that took effect.
 package report
 
 import (
@@ -17,13 +18,13 @@
 	"github.com/go-faster/jx"
 )
 
-// Report is the result of a run.
+// Report holds the figures of a run.
 type Report struct {
 	Name    string
 	Figures []Figure
 }
 
-// Figure is one result.
+// Figure is a named value that was computed from the histories of a run.
 type Figure struct {
 	Name       string
 	Value      float64
@@ -33,29 +34,30 @@
 	Worse      Direction
 }
 
-// Direction says which change of a figure is for the worse.
+// Direction is the direction in which a figure gets worse.
 type Direction int
 
-// Directions. Figures without one are not judged.
+// Directions. Comparisons do not rate figures with the direction Neither.
 const (
 	Neither Direction = iota
 	Higher
 	Lower
 )
 
-// Compute returns the report of a history.
+// Compute computes the report of a history.
 func Compute(h *History) Report {
 	r := Report{Name: h.Run.Name}
 	for _, part := range []func() []Figure{
-		h.outcomes, h.service, h.zoneService, h.latency, h.outside, h.imbalance, h.churn, h.unavailable, h.checks,
+		h.outcomes, h.servedShares, h.zoneServedShare, h.latency, h.latencyOutsideUpstream, h.imbalance, h.churn, h.unavailability, h.checks,
 	} {
 		r.Figures = append(r.Figures, part()...)
 	}
 	return r
 }
 
-// AddLatencyAgainst adds the difference of the steady latencies outside the
-// upstream to those of a run over direct connections.
+// AddLatencyAgainst adds, for each figure of latency outside the upstream, a
+// figure with its difference from that of direct, a run in which the load
+// generator sent its requests directly to the upstreams.
 func (r *Report) AddLatencyAgainst(direct Report) {
 	for _, f := range r.Figures {
 		if !strings.HasPrefix(f.Name, outsidePrefix) {
@@ -69,16 +71,17 @@
 	}
 }
 
-// addedPrefix begins the names of the figures of AddLatencyAgainst.
+// addedPrefix starts the names of the figures that AddLatencyAgainst adds.
 const addedPrefix = "added "
 
-// outsidePrefix begins the names of the latencies without the execution.
+// outsidePrefix starts the names of the latency figures that exclude the
+// execution at the upstream.
 const outsidePrefix = "latency outside the upstream "
 
-// Added reports whether AddLatencyAgainst added the figure.
+// Added reports whether f is a figure that AddLatencyAgainst added.
 func (f Figure) Added() bool { return strings.HasPrefix(f.Name, addedPrefix) }
 
-// Find returns the figure of a name.
+// Find returns the figure with the given name.
 func (r Report) Find(name string) (Figure, bool) {
 	for _, f := range r.Figures {
 		if f.Name == name {
@@ -88,7 +91,7 @@
 	return Figure{}, false
 }
 
-// Broken returns the figures that must be 0 and are not.
+// Broken returns the figures that must be 0 but are not.
 func (r Report) Broken() (out []Figure) {
 	for _, f := range r.Figures {
 		if f.MustBeZero && f.Value != 0 {
@@ -98,7 +101,7 @@
 	return out
 }
 
-// Table returns the report for people.
+// Table formats the report as a text table for display.
 func (r Report) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", r.Name)
@@ -110,38 +113,39 @@
 				mark = "MUST BE 0"
 			}
 		}
-		b.WriteString(strings.TrimRight(fmt.Sprintf("  %-52s %10s %-10s %-9s %s", f.Name, format(f.Value), f.Unit, mark, f.Note), " ") + "\n")
+		b.WriteString(strings.TrimRight(fmt.Sprintf("  %-52s %10s %-10s %-9s %s", f.Name, formatValue(f.Value), f.Unit, mark, f.Note), " ") + "\n")
 	}
 	return b.String()
 }
 
-// Compare returns a table of the figures of r next to those of the earlier
-// report.
+// Compare formats a text table with the figures of r next to those of an earlier
+// report, and rates the changes.
 func (r Report) Compare(earlier Report) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "  %-52s %14s %14s\n", "", clip(r.Name), clip(earlier.Name))
+	fmt.Fprintf(&b, "  %-52s %14s %14s\n", "", truncateName(r.Name), truncateName(earlier.Name))
 	row := func(name, a, o, mark string) {
 		b.WriteString(strings.TrimRight(fmt.Sprintf("  %-52s %14s %14s %s", name, a, o, mark), " ") + "\n")
 	}
 	for _, f := range r.Figures {
 		if o, ok := earlier.Find(f.Name); ok {
-			row(f.Name, format(f.Value), format(o.Value), judge(f, o))
+			row(f.Name, formatValue(f.Value), formatValue(o.Value), classifyChange(f, o))
 		} else {
-			row(f.Name, format(f.Value), "-", "")
+			row(f.Name, formatValue(f.Value), "-", "")
 		}
 	}
 	for _, o := range earlier.Figures {
 		if _, ok := r.Find(o.Name); !ok {
-			row(o.Name, "-", format(o.Value), "")
+			row(o.Name, "-", formatValue(o.Value), "")
 		}
 	}
 	return b.String()
 }
 
-func clip(name string) string { return name[:min(len(name), 14)] }
+func truncateName(name string) string { return name[:min(len(name), 14)] }
 
-// judge says how f changed from the earlier figure.
-func judge(f, earlier Figure) string {
+// classifyChange returns whether f is "better" or "worse" than the earlier figure,
+// or "" if it is neither.
+func classifyChange(f, earlier Figure) string {
 	worse := f.Worse
 	if f.MustBeZero {
 		worse = Higher
@@ -156,7 +160,7 @@
 	}
 }
 
-func format(v float64) string {
+func formatValue(v float64) string {
 	switch {
 	case math.IsNaN(v):
 		return "-"
@@ -168,7 +172,7 @@
 	return strconv.FormatFloat(v, 'f', 4, 64)
 }
 
-// Encode returns the report as JSON.
+// Encode encodes the report as JSON.
 func (r Report) Encode() []byte {
 	var e jx.Encoder
 	e.SetIdent(1)
@@ -204,7 +208,7 @@
 	})
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes a report that Encode encoded.
 func Decode(data []byte) (r Report, err error) {
 	err = jx.DecodeBytes(data).Obj(func(d *jx.Decoder, name string) (err error) {
 		switch name {
@@ -214,18 +218,18 @@
 		case "figures":
 			return d.Arr(func(d *jx.Decoder) error {
 				f, err := decodeFields(d)
-				value, ok := f.number["value"]
+				value, ok := f.floats["value"]
 				if !ok {
 					value = math.NaN()
 				}
 				r.Figures = append(r.Figures, Figure{
-					Name: f.text["name"], Value: value, Unit: f.text["unit"], Note: f.text["note"],
-					MustBeZero: f.whole["must-be-zero"] == 1, Worse: Direction(f.whole["worse"]),
+					Name: f.texts["name"], Value: value, Unit: f.texts["unit"], Note: f.texts["note"],
+					MustBeZero: f.ints["must-be-zero"] == 1, Worse: Direction(f.ints["worse"]),
 				})
 				return err
 			})
 		default:
-			return errors.Errorf("field %q is unknown", name)
+			return errors.Errorf("unknown field %q in report", name)
 		}
 	})
 	if err != nil {
