--- a/internal/standin/scenario/faults.go
+++ b/internal/standin/scenario/faults.go
@@ -11,40 +11,41 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
+// faultSteps are the steps that inject and clear faults.
 var faultSteps = map[string]step{
-	"sigkill":   {usage: "PROCESS", min: 1, run: (*Session).kill, marks: true},
-	"pause":     {usage: "PROCESS", min: 1, run: (*Session).pause, marks: true},
-	"resume":    {usage: "PROCESS", min: 1, run: (*Session).resume, marks: true},
-	"terminate": {usage: "PROCESS [WITHIN]", min: 1, run: (*Session).terminate, marks: true},
-	"store":     {usage: "ok|down|slow|lose-answers [DELAY]", min: 1, run: (*Session).storeFault, marks: true},
-	"upstream":  {usage: "UPSTREAM ok|cold|freeze-answers|late|crossed|shed|short [DELAY]", min: 2, run: (*Session).upstreamFault, marks: true},
-	"cut":       {usage: "FROM TO [requests|answers|both]", min: 2, run: (*Session).cut, marks: true},
-	"silence":   {usage: "FROM TO", min: 2, run: (*Session).silence, marks: true},
-	"heal":      {run: (*Session).heal, marks: true},
+	"sigkill":   {usage: "PROCESS", minArgs: 1, run: (*Session).kill, setsMark: true},
+	"pause":     {usage: "PROCESS", minArgs: 1, run: (*Session).pause, setsMark: true},
+	"resume":    {usage: "PROCESS", minArgs: 1, run: (*Session).resume, setsMark: true},
+	"terminate": {usage: "PROCESS [WITHIN]", minArgs: 1, run: (*Session).terminate, setsMark: true},
+	"store":     {usage: "ok|down|slow|lose-answers [DELAY]", minArgs: 1, run: (*Session).storeFault, setsMark: true},
+	"upstream":  {usage: "UPSTREAM ok|cold|freeze-answers|late|crossed|shed|short [DELAY]", minArgs: 2, run: (*Session).upstreamFault, setsMark: true},
+	"cut":       {usage: "FROM TO [requests|answers|both]", minArgs: 2, run: (*Session).cutLink, setsMark: true},
+	"silence":   {usage: "FROM TO", minArgs: 2, run: (*Session).silenceLink, setsMark: true},
+	"heal":      {run: (*Session).healLinks, setsMark: true},
 }
 
 func (s *Session) kill(ctx context.Context, args []string) error {
-	s.gone[args[0]] = true
+	s.stopped[args[0]] = true
 	return s.fleet.Kill(ctx, args[0])
 }
 
 func (s *Session) pause(_ context.Context, args []string) error {
-	s.gone[args[0]] = true
+	s.stopped[args[0]] = true
 	return s.fleet.Pause(args[0])
 }
 
 func (s *Session) resume(_ context.Context, args []string) error {
-	delete(s.gone, args[0])
+	delete(s.stopped, args[0])
 	return s.fleet.Resume(args[0])
 }
 
-// shutdownBound is how long an instance may take to hand over its roles and to
-// finish its requests.
-const shutdownBound = 10 * time.Second
+// shutdownTimeout is the default time within which a terminated instance must have
+// handed over its roles and finished its requests.
+const shutdownTimeout = 10 * time.Second
 
 func (s *Session) terminate(ctx context.Context, args []string) (err error) {
-	s.gone[args[0]] = true
-	within := shutdownBound
+	s.stopped[args[0]] = true
+	within := shutdownTimeout
 	if len(args) > 1 {
 		if within, err = time.ParseDuration(args[1]); err != nil {
 			return err
@@ -54,12 +55,13 @@
 		return err
 	}
 	if err := s.fleet.Process(args[0]).Err(); err != nil {
-		return errors.Wrapf(err, "%s ended", args[0])
+		return errors.Wrapf(err, "terminate %s", args[0])
 	}
 	return nil
 }
 
-// faultQuery formats a fault of a test double.
+// faultQuery formats the query with which a test double is told to simulate a
+// fault.
 func faultQuery(mode string, rest []string) (string, error) {
 	q := "mode=" + mode
 	if len(rest) > 0 {
@@ -88,7 +90,7 @@
 	return s.fleet.UpstreamFault(ctx, fleet.UpstreamID(args[0]), q)
 }
 
-func (s *Session) cut(_ context.Context, args []string) error {
+func (s *Session) cutLink(_ context.Context, args []string) error {
 	f := relay.Fault{Mode: relay.ModeCut}
 	if len(args) > 2 {
 		switch args[2] {
@@ -98,14 +100,14 @@
 			f.Direction = relay.ToClient
 		case "both":
 		default:
-			return errors.Errorf("direction %q: want requests, answers or both", args[2])
+			return errors.Errorf("invalid direction %q: want requests, answers or both", args[2])
 		}
 	}
 	return s.fleet.LinkFault(args[0], args[1], f)
 }
 
-func (s *Session) silence(_ context.Context, args []string) error {
+func (s *Session) silenceLink(_ context.Context, args []string) error {
 	return s.fleet.LinkFault(args[0], args[1], relay.Fault{Mode: relay.ModeSilent})
 }
 
-func (s *Session) heal(context.Context, []string) error { return s.fleet.Heal() }
+func (s *Session) healLinks(context.Context, []string) error { return s.fleet.Heal() }
--- a/internal/standin/scenario/fleet.go
+++ b/internal/standin/scenario/fleet.go
@@ -13,38 +13,39 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
+// fleetSteps are the steps that start processes, the load and special requests.
 var fleetSteps = map[string]step{
 	"fleet":   {usage: "[instances=N] [upstreams=N] [zones=N] [accounts=N] [rate=N] [class=CLASS] [fencing=none] [service-time=D] [straggle=PERCENT:D] [relayed] [baseline]", run: (*Session).startFleet},
-	"load":    {usage: "[times=ACCOUNT:N] [sticky=ACCOUNT:SHARE]", run: (*Session).startLoad, marks: true},
-	"start":   {usage: "PROCESS", min: 1, run: (*Session).start, marks: true},
-	"smuggle": {usage: "ACCOUNT: requests carry its caller key in every form", min: 1, run: (*Session).smuggle, marks: true},
-	"replace": {usage: "INSTANCE", min: 1, run: (*Session).replace, marks: true},
+	"load":    {usage: "[times=ACCOUNT:N] [sticky=ACCOUNT:SHARE]", run: (*Session).startLoad, setsMark: true},
+	"start":   {usage: "PROCESS", minArgs: 1, run: (*Session).start, setsMark: true},
+	"smuggle": {usage: "ACCOUNT: send requests that carry the account's caller key in various places and encodings", minArgs: 1, run: (*Session).sendDisguisedKeys, setsMark: true},
+	"replace": {usage: "INSTANCE", minArgs: 1, run: (*Session).replace, setsMark: true},
 }
 
-// defaultRate keeps a fleet far below its capacity, so that refusals have other
-// causes than the machine.
+// defaultRate is the default load in requests/s. It is far below the capacity of
+// the fleet, so that no refusal is due to an overloaded machine.
 const defaultRate = 120
 
 func (s *Session) startFleet(ctx context.Context, args []string) error {
 	if s.fleet != nil {
-		return errors.New("the fleet runs already")
+		return errors.New("fleet was already started")
 	}
 	shape, err := lab.FindShape("small")
 	if err != nil {
 		return err
 	}
 	service := &shape.Services[0]
-	o := lab.Options{Kind: lab.Router, Dir: s.Dir, Binaries: s.Binaries, Rate: defaultRate, Seed: 1}
+	opts := lab.Options{Kind: lab.Router, Dir: s.Dir, Binaries: s.Binaries, Rate: defaultRate, Seed: 1}
 	zones, accounts := len(shape.Zones), len(shape.Accounts)
-	whole := func(out *int) func(string) error {
+	intSetter := func(out *int) func(string) error {
 		return func(v string) (err error) { *out, err = strconv.Atoi(v); return err }
 	}
 	rate := 0
-	if err := options(args, map[string]func(string) error{
-		"instances": whole(&shape.Instances), "upstreams": whole(&service.Upstreams), "zones": whole(&zones),
-		"accounts": whole(&accounts), "rate": whole(&rate), "keys": whole(&service.Keys),
+	if err := parseOptions(args, map[string]func(string) error{
+		"instances": intSetter(&shape.Instances), "upstreams": intSetter(&service.Upstreams), "zones": intSetter(&zones),
+		"accounts": intSetter(&accounts), "rate": intSetter(&rate), "keys": intSetter(&service.Keys),
 		"class":        func(v string) error { service.Class = catalogue.Class(v); return nil },
-		"fencing":      func(v string) error { o.Fencing = catalogue.Fencing(v); return nil },
+		"fencing":      func(v string) error { opts.Fencing = catalogue.Fencing(v); return nil },
 		"service-time": func(v string) (err error) { service.ServiceTime, err = time.ParseDuration(v); return err },
 		"warm-time":    func(v string) (err error) { service.WarmTime, err = time.ParseDuration(v); return err },
 		"drain-time":   func(v string) (err error) { shape.DrainTime, err = time.ParseDuration(v); return err },
@@ -56,13 +57,13 @@
 			service.StraggleTime, err = time.ParseDuration(d)
 			return err
 		},
-		"relayed":  func(string) error { o.Relayed = true; return nil },
-		"baseline": func(string) error { o.Kind = lab.Baseline; return nil },
+		"relayed":  func(string) error { opts.Relayed = true; return nil },
+		"baseline": func(string) error { opts.Kind = lab.Baseline; return nil },
 	}); err != nil {
 		return err
 	}
 	if rate > 0 {
-		o.Rate = float64(rate)
+		opts.Rate = float64(rate)
 	}
 	for len(shape.Zones) < zones {
 		shape.Zones = append(shape.Zones, fleet.ZoneID("zone-"+string(rune('a'+len(shape.Zones)))))
@@ -72,17 +73,17 @@
 		shape.Accounts = append(shape.Accounts, lab.Account{ID: fleet.AccountID("account-" + strconv.Itoa(len(shape.Accounts)+1)), Share: 20})
 	}
 	shape.Accounts = shape.Accounts[:accounts]
-	o.Shape = shape
+	opts.Shape = shape
 	if s.client, err = lab.Client(); err != nil {
 		return err
 	}
-	s.gone = make(map[string]bool)
-	s.fleet, err = lab.Start(ctx, o)
+	s.stopped = make(map[string]bool)
+	s.fleet, err = lab.Start(ctx, opts)
 	return err
 }
 
-// maxLoad bounds a load that no step stops.
-const maxLoad = 2 * time.Minute
+// maxLoadDuration bounds the load if no step stops it.
+const maxLoadDuration = 2 * time.Minute
 
 func (s *Session) startLoad(_ context.Context, args []string) (err error) {
 	perAccount := func(set func(a *lab.Account, n float64)) func(string) error {
@@ -98,20 +99,20 @@
 					return nil
 				}
 			}
-			return errors.Errorf("no account %q", id)
+			return errors.Errorf("unknown account %q", id)
 		}
 	}
-	if err := options(args, map[string]func(string) error{
+	if err := parseOptions(args, map[string]func(string) error{
 		"times":  perAccount(func(a *lab.Account, n float64) { a.Times = n }),
 		"sticky": perAccount(func(a *lab.Account, n float64) { a.Sticky = n }),
 	}); err != nil {
 		return err
 	}
-	s.phase, err = s.fleet.StartLoad(lab.Traffic{Name: "load", Rate: s.fleet.Rate, Duration: maxLoad})
+	s.phase, err = s.fleet.StartLoad(lab.Traffic{Name: "load", Rate: s.fleet.Rate, Duration: maxLoadDuration})
 	return err
 }
 
-func (s *Session) instance(name string) (lab.Instance, bool) {
+func (s *Session) findInstance(name string) (lab.Instance, bool) {
 	for _, i := range s.fleet.Instances {
 		if string(i.ID) == name {
 			return i, true
@@ -120,18 +121,18 @@
 	return lab.Instance{}, false
 }
 
-// start starts a process that has ended.
+// start starts an instance or upstream that has ended.
 func (s *Session) start(ctx context.Context, args []string) error {
 	name := args[0]
-	if i, ok := s.instance(name); ok {
-		delete(s.gone, name)
+	if i, ok := s.findInstance(name); ok {
+		delete(s.stopped, name)
 		return s.fleet.StartInstance(ctx, i)
 	}
 	return s.fleet.RestartUpstream(ctx, fleet.UpstreamID(name))
 }
 
-// replace ends an instance with SIGTERM, starts it again and waits until it is
-// ready.
+// replace terminates an instance with SIGTERM, starts it again and waits until it
+// is ready.
 func (s *Session) replace(ctx context.Context, args []string) error {
 	if err := s.terminate(ctx, args); err != nil {
 		return err
--- a/internal/standin/scenario/scenario.go
+++ b/internal/standin/scenario/scenario.go
@@ -1,10 +1,11 @@
-// Package scenario runs a fleet step by step, as scripts and demonstrations
-// describe it: start the fleet, offer load, inject faults, wait for conditions,
-// and check the recorded histories.
+// Package scenario implements the steps of scenarios, which scripts and
+// demonstrations run: they start a fleet, offer load, inject faults, wait for
+// conditions and check the recorded histories.
 //
-// A wait is for a condition and bounded by the stated target. Steps that change
-// the fleet set a mark with their own words as its name, such as "sigkill small-1";
-// checks refer to marks.
+// Wait steps wait for a condition until a time limit, which is usually the target
+// that the condition must meet. Steps that change the fleet or wait set a mark: the
+// time at which they started, under a name that consists of the step and its
+// arguments, such as "sigkill small-1". Check steps refer to marks.
 package scenario
 
 import (
@@ -22,20 +23,20 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Session is a scenario in progress. The caller must Close it.
+// Session runs the steps of one scenario. The caller must call Close at the end.
 type Session struct {
-	Dir      string // of the fleet's files
+	Dir      string // directory for the files of the fleet
 	Binaries lab.Binaries
-	Out      io.Writer
+	Out      io.Writer // receives the output of the steps
 
 	fleet    *lab.Fleet
 	client   *http1.Client
 	phase    *lab.Phase
 	kind     lab.Kind
 	marks    []mark
-	gone     map[string]bool // instances that are not to be asked
-	revision fleet.Revision  // of the last edit
-	histories
+	stopped  map[string]bool // processes that were killed, paused or terminated
+	revision fleet.Revision  // revision of the catalogue after the last edit
+	results
 }
 
 type mark struct {
@@ -43,20 +44,20 @@
 	at   time.Time
 }
 
-type histories struct {
+type results struct {
 	history *report.History
 	report  report.Report
 }
 
-// step is a command of scenarios.
+// step is a command of scenario scripts.
 type step struct {
-	usage string
-	min   int // number of arguments
-	run   func(s *Session, ctx context.Context, args []string) error
-	marks bool
+	usage    string
+	minArgs  int // minimum number of arguments
+	run      func(s *Session, ctx context.Context, args []string) error
+	setsMark bool // the step sets a mark when it starts
 }
 
-// steps by their names.
+// steps holds all steps by name.
 var steps = map[string]step{}
 
 func init() {
@@ -67,7 +68,7 @@
 	}
 }
 
-// Names returns the names of all steps.
+// Names returns the names of all steps, in no particular order.
 func Names() (out []string) {
 	for name := range steps {
 		out = append(out, name)
@@ -75,20 +76,20 @@
 	return out
 }
 
-// Do runs a step.
+// Do runs the named step with the given arguments.
 func (s *Session) Do(ctx context.Context, name string, args []string) error {
 	st, ok := steps[name]
 	if !ok {
-		return errors.Errorf("no step %q", name)
+		return errors.Errorf("unknown step %q", name)
 	}
-	if len(args) < st.min {
+	if len(args) < st.minArgs {
 		return errors.Errorf("usage: %s %s", name, st.usage)
 	}
 	if name != "fleet" && s.fleet == nil {
-		return errors.New("no fleet")
+		return errors.New("no fleet was started")
 	}
-	if st.marks {
-		s.mark(strings.Join(append([]string{name}, args...), " "))
+	if st.setsMark {
+		s.setMark(strings.Join(append([]string{name}, args...), " "))
 	}
 	began := time.Now()
 	err := st.run(s, ctx, args)
@@ -96,34 +97,36 @@
 	return err
 }
 
-func (s *Session) mark(name string) { s.marks = append(s.marks, mark{name, time.Now()}) }
+func (s *Session) setMark(name string) { s.marks = append(s.marks, mark{name, time.Now()}) }
 
-// at returns the time of the last mark with a name, or of one that starts with it.
-func (s *Session) at(name string) (time.Time, error) {
+// markTime returns the time of the last mark whose name is the given one or starts
+// with it and a space.
+func (s *Session) markTime(name string) (time.Time, error) {
 	for i := len(s.marks) - 1; i >= 0; i-- {
 		if s.marks[i].name == name || strings.HasPrefix(s.marks[i].name, name+" ") {
 			return s.marks[i].at, nil
 		}
 	}
-	return time.Time{}, errors.Errorf("no mark %q", name)
+	return time.Time{}, errors.Errorf("unknown mark %q", name)
 }
 
-// Close ends every process of the scenario.
+// Close ends all processes of the fleet.
 func (s *Session) Close() {
 	if s.fleet != nil {
 		s.fleet.Close()
 	}
 }
 
-// options reads "name=value" arguments; others are an error.
-func options(args []string, set map[string]func(string) error) error {
+// parseOptions parses "name=value" arguments and calls the setter of each name. A
+// name without a setter is an error.
+func parseOptions(args []string, setters map[string]func(string) error) error {
 	for _, a := range args {
 		name, value, _ := strings.Cut(a, "=")
-		f := set[name]
-		if f == nil {
-			return errors.Errorf("argument %q is unknown", a)
+		setter := setters[name]
+		if setter == nil {
+			return errors.Errorf("unknown argument %q", a)
 		}
-		if err := f(value); err != nil {
+		if err := setter(value); err != nil {
 			return errors.Wrapf(err, "argument %q", a)
 		}
 	}
--- a/internal/standin/scenario/smuggle.go
+++ b/internal/standin/scenario/smuggle.go
@@ -15,8 +15,8 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// percentAll percent-encodes every byte.
-func percentAll(s string) string {
+// percentEncodeAll percent-encodes every byte of s.
+func percentEncodeAll(s string) string {
 	var b strings.Builder
 	for i := range len(s) {
 		fmt.Fprintf(&b, "%%%02X", s[i])
@@ -24,54 +24,58 @@
 	return b.String()
 }
 
-// smuggled is a request that carries the caller key where an upstream would see it.
-type smuggled struct {
+// disguisedKeyRequest is a request that carries a caller key in a place and an
+// encoding in which it might be forwarded to an upstream.
+type disguisedKeyRequest struct {
 	name, target string
 	header       http.Header
 }
 
-// smuggledRequests puts the caller key, in each encoding, in each place of a
-// request. Authorization alone is the ordinary way.
-func smuggledRequests(prefix, key string) (out []smuggled) {
+// disguisedKeyRequests returns requests that carry the caller key in each encoding
+// in each of several headers and parts of the target. Only a bearer token in the
+// header Authorization is a valid way to send it.
+func disguisedKeyRequests(prefix, key string) (out []disguisedKeyRequest) {
 	forms := map[string]string{
-		"plain": key, "percent": percentAll(key), "twice-percent": url.QueryEscape(percentAll(key)),
+		"plain": key, "percent": percentEncodeAll(key), "twice-percent": url.QueryEscape(percentEncodeAll(key)),
 		"base64": base64.StdEncoding.EncodeToString([]byte(key)), "base64url": base64.RawURLEncoding.EncodeToString([]byte("x" + key)),
 		"basic": base64.StdEncoding.EncodeToString([]byte("user:" + key)),
 	}
 	for form, v := range forms {
 		for _, header := range []string{"X-Other", "Authorization", "X-Api-Key", "X_Api_Key", "Referer", "Proxy-Authorization"} {
-			out = append(out, smuggled{form + " in " + header, prefix + "k1", http.Header{header: {v}}})
+			out = append(out, disguisedKeyRequest{form + " in " + header, prefix + "k1", http.Header{header: {v}}})
 		}
 		out = append(out,
-			smuggled{form + " as bearer", prefix + "k1", http.Header{"X-Forwarded-Authorization": {"Bearer " + v}}},
-			smuggled{form + " in cookie", prefix + "k1", http.Header{"Cookie": {"a=b; api-key=" + v + "; other=" + v}}},
-			smuggled{form + " in query", prefix + "k1?a=b&api-key=" + v, http.Header{}},
-			smuggled{form + " in another parameter", prefix + "k1?a=" + v, http.Header{}},
-			smuggled{form + " as parameter name", prefix + "k1?" + v + "=a", http.Header{}},
-			smuggled{form + " in path", prefix + "k1/" + v, http.Header{}},
-			smuggled{form + " as routing key", prefix + v, http.Header{}},
+			disguisedKeyRequest{form + " as bearer", prefix + "k1", http.Header{"X-Forwarded-Authorization": {"Bearer " + v}}},
+			disguisedKeyRequest{form + " in cookie", prefix + "k1", http.Header{"Cookie": {"a=b; api-key=" + v + "; other=" + v}}},
+			disguisedKeyRequest{form + " in query", prefix + "k1?a=b&api-key=" + v, http.Header{}},
+			disguisedKeyRequest{form + " in another parameter", prefix + "k1?a=" + v, http.Header{}},
+			disguisedKeyRequest{form + " as parameter name", prefix + "k1?" + v + "=a", http.Header{}},
+			disguisedKeyRequest{form + " in path", prefix + "k1/" + v, http.Header{}},
+			disguisedKeyRequest{form + " as routing key", prefix + v, http.Header{}},
 		)
 	}
 	return out
 }
 
-// smuggle sends requests that carry the caller key of an account in many forms.
-// Each must be answered; whether it was refused or stripped is left open.
-func (s *Session) smuggle(ctx context.Context, args []string) error {
+// sendDisguisedKeys sends the disguisedKeyRequests of an account, with and without
+// a valid Authorization header. Each must get a response; the instance may either
+// refuse the request or remove the key from it. Whether an upstream saw a key is
+// checked later from the histories.
+func (s *Session) sendDisguisedKeys(ctx context.Context, args []string) error {
 	account := fleet.AccountID(args[0])
 	key := string(lab.CallerKey(account))
-	through := s.running()
+	instances := s.runningInstances()
 	served, refused := 0, 0
-	for n, r := range smuggledRequests(s.fleet.Shape.Services[0].Prefix(), key) {
-		for _, direct := range []bool{true, false} {
+	for n, r := range disguisedKeyRequests(s.fleet.Shape.Services[0].Prefix(), key) {
+		for _, withAuthorization := range []bool{true, false} {
 			h := r.header.Clone()
-			if direct && h.Get("Authorization") == "" {
+			if withAuthorization && h.Get("Authorization") == "" {
 				h.Set("Authorization", "Bearer "+key)
 			}
 			h.Set(fleet.HeaderDeadline, "1000")
-			p := s.client.NewPool(through[n%len(through)].Caller, http1.PoolConfig{})
-			ask, cancel := context.WithTimeout(ctx, 2*askBound)
-			res, err := p.Do(ask, &http1.Request{Method: http.MethodGet, Target: r.target, Header: h})
+			p := s.client.NewPool(instances[n%len(instances)].Caller, http1.PoolConfig{})
+			reqCtx, cancel := context.WithTimeout(ctx, 2*requestTimeout)
+			res, err := p.Do(reqCtx, &http1.Request{Method: http.MethodGet, Target: r.target, Header: h})
 			cancel()
 			p.Close()
 			switch {
@@ -86,7 +90,7 @@
 	}
 	fmt.Fprintf(s.Out, "%d served, %d refused\n", served, refused)
 	if served == 0 {
-		return errors.New("no request was served, so no upstream could have seen a caller key")
+		return errors.New("no request was served, so that the absence of caller keys at the upstreams proves nothing")
 	}
 	return nil
 }
--- a/internal/standin/scenario/waits.go
+++ b/internal/standin/scenario/waits.go
@@ -18,47 +18,49 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Waits take their bound as the last argument.
+// waitSteps are the steps that wait for a condition. Their last argument is the
+// time limit.
 var waitSteps = map[string]step{
-	"wait-served":       {usage: "[via INSTANCE] BOUND: every tried key is served through every running instance", min: 1, run: (*Session).waitServed, marks: true},
-	"wait-refused":      {usage: "ACCOUNT INSTANCE STATUS BOUND: requests are refused with the status", min: 4, run: (*Session).waitRefused, marks: true},
-	"wait-dropped":      {usage: "INSTANCE BOUND: it is no member any more", min: 2, run: (*Session).waitDropped, marks: true},
-	"wait-lost":         {usage: "UPSTREAM BOUND: it is known as lost", min: 2, run: (*Session).waitLost, marks: true},
-	"wait-ready":        {usage: "INSTANCE BOUND: its readiness check passes and it is a member", min: 2, run: (*Session).waitReady, marks: true},
-	"wait-known":        {usage: "NOTE BOUND: every running instance knows the edit", min: 2, run: (*Session).waitKnown, marks: true},
-	"wait-no-authority": {usage: "INSTANCE BOUND: it refuses for want of authority", min: 2, run: (*Session).waitNoAuthority, marks: true},
-	"wait-work":         {usage: "N BOUND: N more requests ran at the upstreams", min: 2, run: (*Session).waitWork, marks: true},
+	"wait-served":       {usage: "[via INSTANCE] BOUND: wait until requests for several keys are served through every running instance or the given one", minArgs: 1, run: (*Session).waitServed, setsMark: true},
+	"wait-refused":      {usage: "ACCOUNT INSTANCE STATUS BOUND: wait until a request of the account gets the status from the instance", minArgs: 4, run: (*Session).waitRefused, setsMark: true},
+	"wait-dropped":      {usage: "INSTANCE BOUND: wait until the instance is no longer a member", minArgs: 2, run: (*Session).waitNotMember, setsMark: true},
+	"wait-lost":         {usage: "UPSTREAM BOUND: wait until the upstream's state is lost", minArgs: 2, run: (*Session).waitLost, setsMark: true},
+	"wait-ready":        {usage: "INSTANCE BOUND: wait until the instance passes its readiness check and is a member", minArgs: 2, run: (*Session).waitReady, setsMark: true},
+	"wait-known":        {usage: "NOTE BOUND: wait until every running instance has the edit", minArgs: 2, run: (*Session).waitKnown, setsMark: true},
+	"wait-no-authority": {usage: "INSTANCE BOUND: wait until the instance refuses a request with the reason no-authority", minArgs: 2, run: (*Session).waitNoAuthority, setsMark: true},
+	"wait-work":         {usage: "N BOUND: wait until N more requests were executed at the upstreams", minArgs: 2, run: (*Session).waitWork, setsMark: true},
 }
 
 const (
-	waitEvery = 50 * time.Millisecond
-	askBound  = time.Second // of one question within a wait
+	pollInterval   = 50 * time.Millisecond
+	requestTimeout = time.Second // limit of one attempt
 )
 
-// until asks until f returns nil, at most for the last argument.
-func (s *Session) until(ctx context.Context, args []string, f func(ctx context.Context) error) error {
+// poll calls f every pollInterval until it returns nil, or until the time limit in
+// the last argument has passed.
+func (s *Session) poll(ctx context.Context, args []string, f func(ctx context.Context) error) error {
 	limit, err := time.ParseDuration(args[len(args)-1])
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	tick := time.NewTicker(waitEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	last := errors.New("not answered")
+	lastErr := errors.New("no attempt ended")
 	for {
-		ask, done := context.WithTimeout(ctx, askBound)
-		err := f(ask)
-		done()
+		attemptCtx, cancelAttempt := context.WithTimeout(ctx, requestTimeout)
+		err := f(attemptCtx)
+		cancelAttempt()
 		if err == nil {
 			return nil
 		}
 		if ctx.Err() == nil {
-			last = err
+			lastErr = err
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(last, "after %s", limit)
+			return errors.Wrapf(lastErr, "condition not met after %s", limit)
 		case <-tick.C:
 		}
 	}
@@ -70,23 +72,24 @@
 	return c.Status(ctx)
 }
 
-// triedKeys is enough that every upstream of a small fleet owns one.
-const triedKeys = 12
+// triedKeyCount is the number of keys that waitServed requests. Every upstream of
+// a small fleet owns at least one of them.
+const triedKeyCount = 12
 
 func (s *Session) waitServed(ctx context.Context, args []string) error {
-	through := s.running()
+	instances := s.runningInstances()
 	if len(args) > 2 && args[0] == "via" {
-		i, ok := s.instance(args[1])
+		i, ok := s.findInstance(args[1])
 		if !ok {
-			return errors.Errorf("no instance %q", args[1])
+			return errors.Errorf("unknown instance %q", args[1])
 		}
-		through = []lab.Instance{i}
+		instances = []lab.Instance{i}
 	}
-	for _, i := range through {
-		next := 0 // keys are served in order, so that a cold upstream gets one request at a time
-		if err := s.until(ctx, args, func(ctx context.Context) error {
-			for ; next < triedKeys; next++ {
-				if status, body, err := s.ask(ctx, i, s.fleet.Shape.Accounts[0].ID, next); err != nil || status != http.StatusOK {
+	for _, i := range instances {
+		next := 0 // keys are requested one after the other, so that a cold upstream gets one request at a time
+		if err := s.poll(ctx, args, func(ctx context.Context) error {
+			for ; next < triedKeyCount; next++ {
+				if status, body, err := s.sendRequest(ctx, i, s.fleet.Shape.Accounts[0].ID, next); err != nil || status != http.StatusOK {
 					return errors.Errorf("key %d through %s: status %d: %s %v", next, i.ID, status, body, err)
 				}
 			}
@@ -98,8 +101,9 @@
 	return nil
 }
 
-// ask sends one request with an account's caller key.
-func (s *Session) ask(ctx context.Context, i lab.Instance, account fleet.AccountID, key int) (int, []byte, error) {
+// sendRequest sends one request with the account's caller key through an instance,
+// and returns the status and the body of the response.
+func (s *Session) sendRequest(ctx context.Context, i lab.Instance, account fleet.AccountID, key int) (int, []byte, error) {
 	p := s.client.NewPool(i.Caller, http1.PoolConfig{})
 	defer p.Close()
 	h := http.Header{"Authorization": {"Bearer " + string(lab.CallerKey(account))}}
@@ -112,13 +116,13 @@
 }
 
 func (s *Session) waitRefused(ctx context.Context, args []string) error {
-	i, ok := s.instance(args[1])
+	i, ok := s.findInstance(args[1])
 	want, err := strconv.Atoi(args[2])
 	if !ok || err != nil {
-		return errors.Errorf("no instance %q or no status %q", args[1], args[2])
+		return errors.Errorf("unknown instance %q or invalid status %q", args[1], args[2])
 	}
-	return s.until(ctx, args, func(ctx context.Context) error {
-		if got, body, err := s.ask(ctx, i, fleet.AccountID(args[0]), 0); err != nil || got != want {
+	return s.poll(ctx, args, func(ctx context.Context) error {
+		if got, body, err := s.sendRequest(ctx, i, fleet.AccountID(args[0]), 0); err != nil || got != want {
 			return errors.Errorf("status %d, want %d: %s %v", got, want, body, err)
 		}
 		return nil
@@ -126,21 +130,21 @@
 }
 
 func (s *Session) waitNoAuthority(ctx context.Context, args []string) error {
-	i, ok := s.instance(args[0])
+	i, ok := s.findInstance(args[0])
 	if !ok {
-		return errors.Errorf("no instance %q", args[0])
+		return errors.Errorf("unknown instance %q", args[0])
 	}
-	return s.until(ctx, args, func(ctx context.Context) error {
-		if got, body, err := s.ask(ctx, i, s.fleet.Shape.Accounts[0].ID, 0); err != nil || !bytes.Contains(body, []byte(fleet.ReasonNoAuthority)) {
+	return s.poll(ctx, args, func(ctx context.Context) error {
+		if got, body, err := s.sendRequest(ctx, i, s.fleet.Shape.Accounts[0].ID, 0); err != nil || !bytes.Contains(body, []byte(fleet.ReasonNoAuthority)) {
 			return errors.Errorf("status %d: %s %v", got, body, err)
 		}
 		return nil
 	})
 }
 
-func (s *Session) waitDropped(ctx context.Context, args []string) error {
-	return s.until(ctx, args, func(ctx context.Context) error {
-		st, err := s.status(ctx, s.other(args[0]))
+func (s *Session) waitNotMember(ctx context.Context, args []string) error {
+	return s.poll(ctx, args, func(ctx context.Context) error {
+		st, err := s.status(ctx, s.otherInstance(args[0]))
 		if err == nil && slices.ContainsFunc(st.Members, func(m operator.MemberStatus) bool { return string(m.ID) == args[0] }) {
 			err = errors.Errorf("%s is a member of assignment %d", args[0], st.Assignment)
 		}
@@ -148,9 +152,9 @@
 	})
 }
 
-// other returns a running instance that is not the named one.
-func (s *Session) other(name string) (out lab.Instance) {
-	for _, i := range s.running() {
+// otherInstance returns a running instance other than the named one.
+func (s *Session) otherInstance(name string) (out lab.Instance) {
+	for _, i := range s.runningInstances() {
 		if string(i.ID) != name {
 			return i
 		}
@@ -159,8 +163,8 @@
 }
 
 func (s *Session) waitLost(ctx context.Context, args []string) error {
-	return s.until(ctx, args, func(ctx context.Context) error {
-		st, err := s.status(ctx, s.other(""))
+	return s.poll(ctx, args, func(ctx context.Context) error {
+		st, err := s.status(ctx, s.otherInstance(""))
 		if err != nil {
 			return err
 		}
@@ -174,11 +178,11 @@
 }
 
 func (s *Session) waitReady(ctx context.Context, args []string) error {
-	i, ok := s.instance(args[0])
+	i, ok := s.findInstance(args[0])
 	if !ok {
-		return errors.Errorf("no instance %q", args[0])
+		return errors.Errorf("unknown instance %q", args[0])
 	}
-	return s.until(ctx, args, func(ctx context.Context) error {
+	return s.poll(ctx, args, func(ctx context.Context) error {
 		p := s.client.NewPool(i.Caller, http1.PoolConfig{})
 		defer p.Close()
 		res, err := p.Do(ctx, &http1.Request{Method: http.MethodGet, Target: "/-/ready"})
@@ -190,20 +194,20 @@
 		}
 		st, err := s.status(ctx, i)
 		if err == nil && !slices.ContainsFunc(st.Members, func(m operator.MemberStatus) bool { return m.ID == i.ID && st.Instance == i.ID }) {
-			err = errors.New("it is no member")
+			err = errors.New("instance is not a member")
 		}
 		return err
 	})
 }
 
 func (s *Session) waitKnown(ctx context.Context, args []string) error {
-	for _, i := range s.running() {
-		if err := s.until(ctx, args, func(ctx context.Context) error {
+	for _, i := range s.runningInstances() {
+		if err := s.poll(ctx, args, func(ctx context.Context) error {
 			c := s.fleet.Operator(i)
 			defer c.Close()
 			cat, rev, err := c.Catalogue(ctx)
-			if err == nil && (rev < s.revision || !noted(cat, args[0])) {
-				err = errors.Errorf("%s has catalogue %d without the entry %s", i.ID, rev, args[0])
+			if err == nil && (rev < s.revision || !hasNoteEntry(cat, args[0])) {
+				err = errors.Errorf("%s has catalogue revision %d without the entry %s", i.ID, rev, args[0])
 			}
 			return err
 		}); err != nil {
@@ -213,7 +217,8 @@
 	return nil
 }
 
-// waitWork counts effects at upstreams, whose histories are not buffered.
+// waitWork waits until more requests have taken effect at the upstreams. It reads
+// their history files, which are written without buffering.
 func (s *Session) waitWork(ctx context.Context, args []string) error {
 	want, err := strconv.Atoi(args[0])
 	if err != nil {
@@ -228,9 +233,9 @@
 		return n
 	}
 	first := count()
-	return s.until(ctx, args, func(context.Context) error {
+	return s.poll(ctx, args, func(context.Context) error {
 		if n := count() - first; n < want {
-			return errors.Errorf("%d requests ran", n)
+			return errors.Errorf("%d requests were executed, want %d", n, want)
 		}
 		return nil
 	})
