--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -1,7 +1,7 @@
-// Package scenarios runs the scripts in testdata. Each starts a fleet of
-// processes, injects faults, and checks the recorded histories. The steps are
-// those of internal/standin/scenario. Scripts that are listed in KNOWN-RED.txt
-// may fail; their result is printed.
+// Package scenarios runs the scripts in testdata. Each script starts a fleet of
+// processes, injects faults and checks the recorded histories, with the steps of
+// internal/standin/scenario. Scripts that are listed in KNOWN-RED.txt may fail;
+// their results are printed.
 package scenarios
 
 import (
@@ -21,51 +21,52 @@
 	"github.com/parsleyproxy/parsleyproxy/internal/standin/scenario"
 )
 
-// fleets run at the same time. More make the machine's scheduling the cause of
-// failures.
-var fleets = flag.Int("fleets", 3, "number of fleets at the same time")
+// maxFleets is the number of scripts that run at the same time, each with a fleet
+// of its own. With more, processes wait so long for a CPU that scripts fail.
+var maxFleets = flag.Int("fleets", 3, "maximum number of fleets that run at the same time")
 
-const knownRed = "../KNOWN-RED.txt"
+const knownRedFile = "../KNOWN-RED.txt"
 
-// scriptTimeout bounds a script.
+// scriptTimeout bounds each step of a script.
 const scriptTimeout = 90 * time.Second
 
-// TestScenarios guards the properties G1 to G14 under faults.
+// TestScenarios checks the guarantees G1 to G14 under faults, one script per subtest.
 func TestScenarios(t *testing.T) {
 	binaries, err := lab.FindBinaries(t.Context(), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Programs without a rule show that the scenario of the rule can fail.
+	// Programs from which a safety rule was removed show that the scenario that
+	// checks the rule can fail.
 	if dir := os.Getenv("SCENARIO_PROGRAMS"); dir != "" {
 		binaries = lab.Binaries{Proxy: filepath.Join(dir, "parsleyproxy"), Standin: filepath.Join(dir, "standin")}
 	}
-	known := readKnownRed(t)
+	mayFail := readKnownRed(t)
 	scripts, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(scripts) == 0 {
-		t.Fatalf("no scripts: %v", err)
+		t.Fatalf("no scripts found in testdata: %v", err)
 	}
-	free := make(chan struct{}, *fleets)
+	slots := make(chan struct{}, *maxFleets)
 	for _, file := range scripts {
 		name := strings.TrimSuffix(filepath.Base(file), ".txtar")
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			free <- struct{}{}
-			defer func() { <-free }()
-			if !known[name] {
-				testscript.RunT(runner{t}, params(t, binaries, file))
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			if !mayFail[name] {
+				testscript.RunT(inlineT{t}, scriptParams(t, binaries, file))
 				return
 			}
-			o := &observed{log: t.Logf}
+			rec := &recorder{log: t.Logf}
 			func() {
 				defer func() {
 					if r := recover(); r != nil && r != errStopped {
 						panic(r)
 					}
 				}()
-				testscript.RunT(o, params(t, binaries, file))
+				testscript.RunT(rec, scriptParams(t, binaries, file))
 			}()
-			if o.failed {
+			if rec.failed {
 				printKnownRed(t, name+" failed as listed")
 			} else {
 				printKnownRed(t, name+" passed; remove it from KNOWN-RED.txt if it does so repeatedly")
@@ -76,9 +77,9 @@
 
 var knownRedMu sync.Mutex
 
-// printKnownRed prints a result, and appends it to the file that
-// KNOWN_RED_RESULTS names, because go test hides the output of packages that
-// pass.
+// printKnownRed prints the result of a script that is listed in KNOWN-RED.txt. It
+// also appends the result to the file that KNOWN_RED_RESULTS names, because go test
+// hides the output of packages that pass.
 func printKnownRed(t *testing.T, result string) {
 	knownRedMu.Lock()
 	defer knownRedMu.Unlock()
@@ -97,10 +98,11 @@
 	}
 }
 
-// readKnownRed returns the scenarios that may fail: lines "scenario NAME: ...".
+// readKnownRed returns the names of the scripts that may fail. KNOWN-RED.txt lists
+// them in lines "scenario NAME: ...".
 func readKnownRed(t *testing.T) map[string]bool {
-	known := make(map[string]bool)
-	data, err := os.ReadFile(knownRed)
+	mayFail := make(map[string]bool)
+	data, err := os.ReadFile(knownRedFile)
 	if err != nil && !os.IsNotExist(err) {
 		t.Fatal(err)
 	}
@@ -108,15 +110,15 @@
 		rest, ok := strings.CutPrefix(line, "scenario ")
 		if name, _, colon := strings.Cut(rest, ":"); ok && colon {
 			if _, err := os.Stat(filepath.Join("testdata", name+".txtar")); err != nil {
-				t.Errorf("%s lists the scenario %q, which does not exist", knownRed, name)
+				t.Errorf("%s lists the scenario %q, which does not exist", knownRedFile, name)
 			}
-			known[name] = true
+			mayFail[name] = true
 		}
 	}
-	return known
+	return mayFail
 }
 
-func params(t *testing.T, binaries lab.Binaries, file string) testscript.Params {
+func scriptParams(t *testing.T, binaries lab.Binaries, file string) testscript.Params {
 	type key struct{}
 	commands := make(map[string]func(ts *testscript.TestScript, neg bool, args []string))
 	for _, name := range scenario.Names() {
@@ -141,15 +143,15 @@
 		Setup: func(env *testscript.Env) error {
 			s := &scenario.Session{Dir: filepath.Join(env.WorkDir, "fleet"), Binaries: binaries}
 			env.Values[key{}] = s
-			env.Defer(func() { s.Close(); keep(t, s.Dir) })
+			env.Defer(func() { s.Close(); keepFiles(t, s.Dir) })
 			return nil
 		},
 	}
 }
 
-// keep copies a fleet's files for an investigation if SCENARIO_KEEP names a
-// directory.
-func keep(t *testing.T, dir string) {
+// keepFiles copies the files of a fleet to the directory that SCENARIO_KEEP names,
+// if it is set, so that a failure can be investigated.
+func keepFiles(t *testing.T, dir string) {
 	to := os.Getenv("SCENARIO_KEEP")
 	if to == "" {
 		return
@@ -159,25 +161,27 @@
 	}
 }
 
-// runner runs a script in a test of its own, at once.
-type runner struct{ *testing.T }
+// inlineT runs a script within the current test instead of in a subtest.
+type inlineT struct{ *testing.T }
 
-func (r runner) Run(_ string, f func(testscript.T)) { f(r) }
-func (r runner) Parallel()                          {}
-func (r runner) Verbose() bool                      { return testing.Verbose() }
+func (r inlineT) Run(_ string, f func(testscript.T)) { f(r) }
+func (r inlineT) Parallel()                          {}
+func (r inlineT) Verbose() bool                      { return testing.Verbose() }
 
-var errStopped = fmt.Errorf("the script ended early")
+// errStopped is the panic value with which a recorder ends a script.
+var errStopped = fmt.Errorf("script stopped early")
 
-// observed records the result of a script that may fail.
-type observed struct {
+// recorder is a testscript.T that records whether a script failed, without
+// failing the test.
+type recorder struct {
 	failed bool
 	log    func(format string, args ...any)
 }
 
-func (o *observed) Skip(args ...any)                   { o.log("skip: %s", fmt.Sprint(args...)); panic(errStopped) }
-func (o *observed) Fatal(args ...any)                  { o.Log(args...); o.FailNow() }
-func (o *observed) Log(args ...any)                    { o.log("%s", fmt.Sprint(args...)) }
-func (o *observed) FailNow()                           { o.failed = true; panic(errStopped) }
-func (o *observed) Parallel()                          {}
-func (o *observed) Verbose() bool                      { return testing.Verbose() }
-func (o *observed) Run(_ string, f func(testscript.T)) { f(o) }
+func (o *recorder) Skip(args ...any)                   { o.log("skip: %s", fmt.Sprint(args...)); panic(errStopped) }
+func (o *recorder) Fatal(args ...any)                  { o.Log(args...); o.FailNow() }
+func (o *recorder) Log(args ...any)                    { o.log("%s", fmt.Sprint(args...)) }
+func (o *recorder) FailNow()                           { o.failed = true; panic(errStopped) }
+func (o *recorder) Parallel()                          {}
+func (o *recorder) Verbose() bool                      { return testing.Verbose() }
+func (o *recorder) Run(_ string, f func(testscript.T)) { f(o) }
