--- a/internal/standin/load/history.go
+++ b/internal/standin/load/history.go
@@ -79,7 +79,7 @@
 // Summary holds the number of requests by outcome and the latencies of served
 // requests.
 type Summary struct {
-	Took      time.Duration
+	Elapsed   time.Duration
 	Requests  int
 	Outcomes  map[string]int // number of requests by outcome and reason, such as "not-run overloaded"
 	latencies map[catalogue.Class]*hdrhistogram.Histogram
@@ -120,7 +120,7 @@
 // String formats the summary as several lines of text for display.
 func (s *Summary) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d requests in %s\n", s.Requests, s.Took.Round(time.Millisecond))
+	fmt.Fprintf(&b, "%d requests in %s\n", s.Requests, s.Elapsed.Round(time.Millisecond))
 	names := make([]string, 0, len(s.Outcomes))
 	for name := range s.Outcomes {
 		names = append(names, name)
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -58,8 +58,8 @@
 	Key    fleet.CallerKey
 	Rate   float64 // requests/s
 	Times  float64 // multiplier of Rate; 0 means 1
-	Target string  // name of the target that gets at least Share of the requests; empty means no preference
-	Share  float64 // fraction from 0 to 1 of the requests sent to Target; the others go to a random ready target
+	Target string  // name of the preferred target; empty means no preference
+	Share  float64 // fraction from 0 to 1 of the requests that go to Target; the others go to a random ready target
 }
 
 // Entry is a catalogue entry that requests use.
@@ -178,7 +178,7 @@
 	g.pending.Wait()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.summary.Took = time.Since(start)
+	g.summary.Elapsed = time.Since(start)
 	return g.summary, g.history.flush()
 }
 
