--- a/internal/standin/report/checks.go
+++ b/internal/standin/report/checks.go
@@ -41,7 +41,7 @@
 func (h *History) classLookup() func(x Execution) catalogue.Class {
 	byClient := make(map[string]catalogue.Class, len(h.Calls))
 	for _, c := range h.Calls {
-		byClient[c.Client] = c.Class
+		byClient[c.ClientID] = c.Class
 	}
 	byService := make(map[fleet.ServiceID]catalogue.Class)
 	for _, e := range h.Run.Entries {
@@ -52,7 +52,7 @@
 		}
 	}
 	return func(x Execution) catalogue.Class {
-		if c, ok := byClient[x.Client]; ok {
+		if c, ok := byClient[x.ClientID]; ok {
 			return c
 		}
 		return byService[x.Service]
@@ -66,7 +66,7 @@
 	ran := make(map[string]int)
 	for _, x := range h.Executions {
 		if x.mayHaveTakenEffect() && class(x) == catalogue.NonIdempotent {
-			if ran[x.Client]++; ran[x.Client] > 1 {
+			if ran[x.ClientID]++; ran[x.ClientID] > 1 {
 				n++
 			}
 		}
@@ -82,11 +82,11 @@
 	ran := make(map[string]bool)
 	for _, x := range h.Executions {
 		if x.mayHaveTakenEffect() {
-			ran[x.Client] = true
+			ran[x.ClientID] = true
 		}
 	}
 	for _, c := range h.Calls {
-		if c.Outcome == notRun && ran[c.Client] {
+		if c.Outcome == notRun && ran[c.ClientID] {
 			n++
 		}
 	}
@@ -202,21 +202,21 @@
 	entries := make(map[string]fleet.EntryID)
 	arrived := make(map[string]int64)
 	for _, c := range h.Calls {
-		entries[c.Client], arrived[c.Client] = c.Entry, c.T0
+		entries[c.ClientID], arrived[c.ClientID] = c.Entry, c.T0
 	}
 	byAccount, byEntry := make(map[fleet.AccountID][]admission), make(map[fleet.EntryID][]admission)
 	counted := make(map[string]bool)
 	for _, x := range h.Executions {
-		if counted[x.Client] {
+		if counted[x.ClientID] {
 			continue // a repeated execution of the same request
 		}
-		counted[x.Client] = true
+		counted[x.ClientID] = true
 		a := admission{x.Start, x.Start}
-		if t0, ok := arrived[x.Client]; ok {
+		if t0, ok := arrived[x.ClientID]; ok {
 			a.earliest = min(t0, x.Start)
 		}
 		byAccount[x.Account] = append(byAccount[x.Account], a)
-		byEntry[entries[x.Client]] = append(byEntry[entries[x.Client]], a)
+		byEntry[entries[x.ClientID]] = append(byEntry[entries[x.ClientID]], a)
 	}
 	worstExcess := 0
 	count := func(name string, l fleet.Limit, in []admission) {
--- a/internal/standin/report/figures.go
+++ b/internal/standin/report/figures.go
@@ -188,7 +188,7 @@
 	servedByLost := make(map[string]bool)
 	for _, x := range h.Executions {
 		if string(x.Upstream) == e.Name && x.Effect != 0 && x.Start <= at {
-			servedByLost[x.Client] = true
+			servedByLost[x.ClientID] = true
 		}
 	}
 	for _, c := range h.Calls {
@@ -199,7 +199,7 @@
 		rateLimited := c.Reason == string(fleet.ReasonRateLimited)
 		a.requestedAfterLoss = a.requestedAfterLoss || !rateLimited && c.T0 > at && c.T0 <= at+int64(samplingLimit)
 		switch {
-		case c.Outcome == served && (c.T1 <= at || servedByLost[c.Client]):
+		case c.Outcome == served && (c.T1 <= at || servedByLost[c.ClientID]):
 			a.beforeLoss = append(a.beforeLoss, c.T1)
 		case c.Outcome == served:
 			if a.firstAfterLoss == 0 || c.T1 < a.firstAfterLoss {
@@ -303,13 +303,13 @@
 	executionTimes := make(map[string]int64, len(h.Executions))
 	for _, x := range h.Executions {
 		if x.Effect != 0 && x.End != 0 {
-			executionTimes[x.Client] = x.End - x.Start
+			executionTimes[x.ClientID] = x.End - x.Start
 		}
 	}
 	for _, class := range []catalogue.Class{catalogue.Idempotent, catalogue.NonIdempotent} {
 		var v []float64
 		for _, c := range h.Calls {
-			if t, ok := executionTimes[c.Client]; ok && c.Class == class && c.Outcome == served && c.T0 >= from && c.T0 < to {
+			if t, ok := executionTimes[c.ClientID]; ok && c.Class == class && c.Outcome == served && c.T0 >= from && c.T0 < to {
 				v = append(v, float64(c.T1-c.T0-t)/1e6)
 			}
 		}
--- a/internal/standin/report/history.go
+++ b/internal/standin/report/history.go
@@ -28,7 +28,7 @@
 	Service  fleet.ServiceID
 	Class    catalogue.Class
 	Key      fleet.RoutingKey
-	Client   string // id that the load generator gave to the request
+	ClientID string // id that the load generator gave to the request
 	Status   int
 	Outcome  string
 	Reason   string
@@ -38,7 +38,7 @@
 // Execution is one execution of a request at an upstream. Times are Unix
 // nanoseconds.
 type Execution struct {
-	Client   string // id that the load generator gave to the request
+	ClientID string // id that the load generator gave to the request
 	Account  fleet.AccountID
 	Service  fleet.ServiceID
 	Key      fleet.RoutingKey
@@ -180,7 +180,7 @@
 		if err := decodeObject(line, map[string]any{
 			"t0": &c.T0, "t1": &c.T1, "instance": &c.Instance, "account": (*string)(&c.Account),
 			"entry": (*string)(&c.Entry), "service": (*string)(&c.Service), "class": (*string)(&c.Class),
-			"key": (*string)(&c.Key), "client-id": &c.Client, "status": &c.Status, "outcome": &c.Outcome,
+			"key": (*string)(&c.Key), "client-id": &c.ClientID, "status": &c.Status, "outcome": &c.Outcome,
 			"reason": &c.Reason, "whole": &c.Whole,
 		}); err != nil {
 			return err
@@ -242,7 +242,7 @@
 		switch v.event {
 		case "start":
 			running[id] = append(running[id], len(h.Executions))
-			h.Executions = append(h.Executions, v.execution())
+			h.Executions = append(h.Executions, v.toExecution())
 		case "overload":
 			h.Overloads = append(h.Overloads, v.t)
 		case "caller-key":
@@ -271,14 +271,14 @@
 	})
 }
 
-func (v upstreamEvent) execution() Execution {
+func (v upstreamEvent) toExecution() Execution {
 	service, _, _ := strings.Cut(v.unit, "/")
 	client := v.client
 	if client == "" {
 		client = v.request
 	}
 	return Execution{
-		Client: client, Account: fleet.AccountID(v.account), Service: fleet.ServiceID(service), Key: fleet.RoutingKey(v.key),
+		ClientID: client, Account: fleet.AccountID(v.account), Service: fleet.ServiceID(service), Key: fleet.RoutingKey(v.key),
 		Unit: v.unit, Upstream: fleet.UpstreamID(v.upstream), Boot: fleet.BootID(v.boot), Start: v.t,
 		Concurrent: v.concurrent, Bears: v.bears,
 	}
