--- a/cmd/parsleyproxy/front.go
+++ b/cmd/parsleyproxy/front.go
@@ -60,12 +60,12 @@
 func runFront(ctx context.Context, path string, cfg direct.Settings, level hclog.Level) error {
 	metrics := direct.NewMetrics()
 	log := hclog.New(&hclog.LoggerOptions{Level: level, Output: logs.NewWriter(os.Stdout, metrics.LogDropped), JSONFormat: true})
-	upstreamTransport := http1.TransportConfig{DialTimeout: frontDialTimeout, IdleTimeout: frontIdleTimeout, MaxBody: frontMaxResponseBody, MaxIdle: frontMaxIdleConns, TurnsAway: true}
+	upstreamTransport := http1.TransportConfig{DialTimeout: frontDialTimeout, IdleTimeout: frontIdleTimeout, MaxBody: frontMaxResponseBody, MaxIdlePerAddr: frontMaxIdleConns, RejectsExcessConns: true}
 	storeTransport := upstreamTransport
-	storeTransport.AllSilent, storeTransport.TurnsAway = true, false
+	storeTransport.CloseIdleOnError, storeTransport.RejectsExcessConns = true, false
 	external := direct.Platform{
 		Store: platform.NewStore(cfg.Store, http1.NewTransport(storeTransport), metrics.StoreCall), Holders: platform.Holders{Client: http1.NewTransport(upstreamTransport)},
-		Protocol: platform.Protocol{}, Upstream: http1.NewTransport(upstreamTransport), Configuration: platform.DecodeConfig, Settings: func() (direct.Settings, error) { return platform.ReadSettings(path) },
+		Protocol: platform.Protocol{}, UpstreamTransport: http1.NewTransport(upstreamTransport), DecodeConfiguration: platform.DecodeConfig, ReadSettings: func() (direct.Settings, error) { return platform.ReadSettings(path) },
 	}
 	return direct.New(cfg, external, metrics, log).Run(ctx)
 }
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -96,9 +96,9 @@
 	return u, u.Owner != ""
 }
 
-// Shards returns the number of shards of a service, or 0 if the service is not in
+// ShardCount returns the number of shards of a service, or 0 if the service is not in
 // the record.
-func (a *Assignment) Shards(service fleet.ServiceID) int {
+func (a *Assignment) ShardCount(service fleet.ServiceID) int {
 	s := a.serviceRanges[service]
 	return s.pins - s.start
 }
--- a/internal/assignment/pins.go
+++ b/internal/assignment/pins.go
@@ -27,7 +27,7 @@
 	var added []Ownership
 	for _, id := range p.serviceIDs() {
 		recent := 0
-		for _, at := range p.input.LastPin[id] {
+		for _, at := range p.input.RecentPins[id] {
 			if p.now.Sub(at) < pinPeriod {
 				recent++
 			}
--- a/internal/assignment/plan.go
+++ b/internal/assignment/plan.go
@@ -19,12 +19,12 @@
 	// have learned the revisions that the planner knows (design, section 4). The
 	// member list changes only if they have: otherwise majorities of successive lists
 	// might have no member in common.
-	Learned bool
-	Lost    []fleet.InstanceID // members that a majority has not heard from for 600 ms
-	Leaving []fleet.InstanceID // instances that are shutting down
-	Joining []Member           // instances to add; one with a new boot id replaces the member
-	Reports map[fleet.UpstreamID]Report
-	LastPin map[fleet.ServiceID][]time.Time // times of recent moves with CausePin
+	Learned    bool
+	Lost       []fleet.InstanceID // members that a majority has not heard from for 600 ms
+	Leaving    []fleet.InstanceID // instances that are shutting down
+	Joining    []Member           // instances to add; one with a new boot id replaces the member
+	Reports    map[fleet.UpstreamID]Report
+	RecentPins map[fleet.ServiceID][]time.Time // times of recent moves with CausePin
 	// LastSwap holds the time of the last move with CauseLoad, by service.
 	LastSwap map[fleet.ServiceID]time.Time
 }
--- a/internal/assignment/world_test.go
+++ b/internal/assignment/world_test.go
@@ -22,7 +22,7 @@
 	leaving        map[fleet.InstanceID]bool
 	learned        bool
 	grantsReported bool // dispatchers report every unit as released and granted
-	lastPins       map[fleet.ServiceID][]time.Time
+	recentPins     map[fleet.ServiceID][]time.Time
 	lastSwaps      map[fleet.ServiceID]time.Time
 }
 
@@ -31,7 +31,7 @@
 		now: time.Unix(1000, 0), current: &Assignment{}, learned: true, grantsReported: true,
 		listed: map[string]platform.Listed{}, reports: map[fleet.UpstreamID]Report{},
 		joining: map[fleet.InstanceID]Member{}, lost: map[fleet.InstanceID]bool{},
-		leaving: map[fleet.InstanceID]bool{}, lastPins: map[fleet.ServiceID][]time.Time{}, lastSwaps: map[fleet.ServiceID]time.Time{},
+		leaving: map[fleet.InstanceID]bool{}, recentPins: map[fleet.ServiceID][]time.Time{}, lastSwaps: map[fleet.ServiceID]time.Time{},
 	}
 }
 
@@ -66,7 +66,7 @@
 func (fx *fixture) input() Input {
 	in := Input{
 		Current: fx.current, Catalogue: &fx.catalogue, Learned: fx.learned, Reports: map[fleet.UpstreamID]Report{},
-		Lost: sortedKeys(fx.lost), Leaving: sortedKeys(fx.leaving), LastPin: fx.lastPins, LastSwap: fx.lastSwaps,
+		Lost: sortedKeys(fx.lost), Leaving: sortedKeys(fx.leaving), RecentPins: fx.recentPins, LastSwap: fx.lastSwaps,
 	}
 	for _, id := range sortedKeys(fx.listed) {
 		in.Listed = append(in.Listed, fx.listed[id])
@@ -112,7 +112,7 @@
 	}
 	for _, m := range moves {
 		if m.Cause == CausePin {
-			fx.lastPins[m.Unit.Service] = append(fx.lastPins[m.Unit.Service], fx.now)
+			fx.recentPins[m.Unit.Service] = append(fx.recentPins[m.Unit.Service], fx.now)
 		}
 		if m.Cause == CauseLoad {
 			fx.lastSwaps[m.Unit.Service] = fx.now
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -126,7 +126,7 @@
 // Change is a difference between two lists of upstreams.
 type Change struct {
 	ID   fleet.UpstreamID
-	What string // "new", "restarted", "draining" or "gone"
+	Kind string // "new", "restarted", "draining" or "gone"
 }
 
 // Replace replaces all registrations with list and returns the changes. Upstreams that
@@ -136,16 +136,16 @@
 	entries := make(map[fleet.UpstreamID]*Entry, len(list))
 	byService := make(map[fleet.ServiceID][]*Entry)
 	for _, r := range list {
-		e, what := t.register(now, r)
-		if what != "" {
-			changes = append(changes, Change{ID: r.ID, What: what})
+		e, kind := t.register(now, r)
+		if kind != "" {
+			changes = append(changes, Change{ID: r.ID, Kind: kind})
 		}
 		entries[r.ID] = e
 		byService[r.Service] = append(byService[r.Service], e)
 	}
 	for id := range t.entries {
 		if entries[id] == nil {
-			changes = append(changes, Change{ID: id, What: "gone"})
+			changes = append(changes, Change{ID: id, Kind: "gone"})
 		}
 	}
 	t.entries, t.byService = entries, byService
@@ -171,20 +171,20 @@
 
 func (t *Table) register(now time.Time, r Registration) (*Entry, string) {
 	e, known := t.entries[r.ID]
-	what := ""
+	kind := ""
 	switch {
 	case !known:
-		e, what = &Entry{lastLearned: now}, "new"
+		e, kind = &Entry{lastLearned: now}, "new"
 	case e.Boot != r.Boot || e.Addr != r.Addr:
-		e, what = &Entry{lastLearned: now}, "restarted"
+		e, kind = &Entry{lastLearned: now}, "restarted"
 	case !e.Draining && r.Draining:
-		what = "draining"
+		kind = "draining"
 	}
 	if until := now.Add(r.ColdLeft); r.ColdLeft > 0 && until.After(e.coldUntil) {
 		e.coldUntil = until
 	}
 	e.Registration = r
-	return e, what
+	return e, kind
 }
 
 // Evacuate replaces the set of evacuated zones, whose upstreams are sent no requests.
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -48,11 +48,11 @@
 		sendAndEnd(table, now, table.Get(fleet.UpstreamID(fmt.Sprint("u", 1+i%2))), Answered, 200*time.Millisecond)
 	}
 	sendAndEnd(table, now, table.Get("u3"), Answered, 20*time.Second)
-	if got := table.MeanTime(now, table.Get("u3")); got > 0.4 {
+	if got := table.LongMeanTime(now, table.Get("u3")); got > 0.4 {
 		t.Errorf("mean service time = %v s after one slow answer; the service's is 0.2 s", got)
 	}
 	sendAndEnd(table, now, table.Get("u0"), Answered, time.Millisecond)
-	if got := table.MeanTime(now, table.Get("u0")); got < 0.15 {
+	if got := table.LongMeanTime(now, table.Get("u0")); got < 0.15 {
 		t.Errorf("mean service time = %v s after one quick answer; the service's is 0.2 s", got)
 	}
 }
@@ -180,7 +180,7 @@
 	list := registrations(1)
 	list[0].Boot, list[0].ColdLeft = "2", 2*time.Second
 	changes := table.Replace(start, list)
-	if diff := cmp.Diff([]Change{{ID: "u0", What: "restarted"}}, changes); diff != "" || !table.Get("u0").Cold(start) {
+	if diff := cmp.Diff([]Change{{ID: "u0", Kind: "restarted"}}, changes); diff != "" || !table.Get("u0").Cold(start) {
 		t.Error("a restarted upstream is not cold, or the changes are wrong: ", diff)
 	}
 }
@@ -190,9 +190,9 @@
 func TestBudgetOverAllInstances(t *testing.T) {
 	const instances, rate, ratio, extra = 10, 300, 0.2, 60
 	window := 10 * time.Second
-	var budgets []*Budget
+	var budgets []*RetryBudget
 	for range instances {
-		budgets = append(budgets, NewBudget(ratio, extra, window))
+		budgets = append(budgets, NewRetryBudget(ratio, extra, window))
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var retries []time.Time
--- a/internal/balance/budget.go
+++ b/internal/balance/budget.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Budget limits the retries of an instance. The limit applies to all instances
+// RetryBudget limits the retries of an instance. The limit applies to all instances
 // together over a window. Without communication, each instance may use a share of its
 // own requests and an equal part of the fixed allowance.
-type Budget struct {
+type RetryBudget struct {
 	ratio  float64 // retries per request
 	extra  float64 // retries per window, of all instances together
 	window time.Duration
@@ -18,13 +18,13 @@
 // sliding window within the limit when the traffic changes during it.
 const budgetUse = 0.85
 
-// NewBudget returns a budget of ratio retries per request of this instance, plus this
+// NewRetryBudget returns a budget of ratio retries per request of this instance, plus this
 // instance's part of extra retries per window.
-func NewBudget(ratio float64, extra int, window time.Duration) *Budget {
-	return &Budget{ratio: ratio, extra: float64(extra), window: window}
+func NewRetryBudget(ratio float64, extra int, window time.Duration) *RetryBudget {
+	return &RetryBudget{ratio: ratio, extra: float64(extra), window: window}
 }
 
-func (b *Budget) refill(now time.Time, instances int) {
+func (b *RetryBudget) refill(now time.Time, instances int) {
 	share := b.extra * budgetUse / float64(max(instances, 1))
 	if b.lastRefill.IsZero() {
 		b.tokens = share / 2
@@ -37,13 +37,13 @@
 }
 
 // Request adds the retries that one request of a caller allows.
-func (b *Budget) Request(now time.Time, instances int) {
+func (b *RetryBudget) Request(now time.Time, instances int) {
 	b.refill(now, instances)
 	b.tokens += b.ratio * budgetUse
 }
 
 // Take reports whether a request may be retried, and if so counts the retry.
-func (b *Budget) Take(now time.Time, instances int) bool {
+func (b *RetryBudget) Take(now time.Time, instances int) bool {
 	b.refill(now, instances)
 	if b.tokens < 1 {
 		return false
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -39,8 +39,8 @@
 		seconds /= 1 + float64(load.Waiting)/float64(max(load.Slots, 1))
 		e.samples.Queued++
 	} else {
-		e.samples.N++
-		e.samples.Sum += seconds
+		e.samples.Unqueued++
+		e.samples.UnqueuedSeconds += seconds
 		t.updateLongMean(e, seconds, 1)
 	}
 	if load != nil && load.Slowdown > 1 {
@@ -67,9 +67,9 @@
 	e.longMeanTime += (seconds - e.longMeanTime) * (1 - math.Pow(1-weight, float64(n)))
 }
 
-// MeanTime returns the long mean of the service time of e in seconds. Before the first
+// LongMeanTime returns the long mean of the service time of e in seconds. Before the first
 // answer of e, it returns the estimate of ServiceTime.
-func (t *Table) MeanTime(now time.Time, e *Entry) float64 {
+func (t *Table) LongMeanTime(now time.Time, e *Entry) float64 {
 	if e.longMeanTime == 0 {
 		return t.ServiceTime(now, e)
 	}
@@ -91,13 +91,13 @@
 
 // Samples summarises the requests of one instance to an upstream.
 type Samples struct {
-	N      int     // answers while no other requests waited
-	Sum    float64 // total service time of the N answers, in seconds
-	Queued int     // answers while other requests waited
-	Lost   int     // requests that were refused by a full queue, or waited without an answer
+	Unqueued        int     // answers while no other requests waited
+	UnqueuedSeconds float64 // total service time of the Unqueued answers
+	Queued          int     // answers while other requests waited
+	Lost            int     // requests that were refused by a full queue, or waited without an answer
 }
 
-func (s Samples) empty() bool { return s.N+s.Queued+s.Lost == 0 }
+func (s Samples) empty() bool { return s.Unqueued+s.Queued+s.Lost == 0 }
 
 // TakeSamples returns and resets the samples since the last call, for the upstreams of
 // the services for which include returns true.
@@ -115,12 +115,12 @@
 // LearnSamples adds the samples of another instance to the service times of an upstream.
 func (t *Table) LearnSamples(now time.Time, id fleet.UpstreamID, samples Samples) {
 	e := t.entries[id]
-	if e == nil || samples.N <= 0 {
+	if e == nil || samples.Unqueued <= 0 {
 		return
 	}
-	mean := samples.Sum / float64(samples.N)
-	t.updateLongMean(e, mean, samples.N)
-	t.updateShortMeans(now, e, mean, 1-math.Pow(1-shortMeanWeight, float64(samples.N)))
+	mean := samples.UnqueuedSeconds / float64(samples.Unqueued)
+	t.updateLongMean(e, mean, samples.Unqueued)
+	t.updateShortMeans(now, e, mean, 1-math.Pow(1-shortMeanWeight, float64(samples.Unqueued)))
 	e.lastLearned = now
 }
 
@@ -132,8 +132,9 @@
 	return t.ServiceTime(now, e)
 }
 
-// Typical returns the mean service time of a service in seconds, or 0 if it is unknown.
-func (t *Table) Typical(id fleet.ServiceID) float64 { return t.meanTimes[id] }
+// ServiceMeanTime returns the mean service time of a service in seconds, or 0 if it is
+// unknown.
+func (t *Table) ServiceMeanTime(id fleet.ServiceID) float64 { return t.meanTimes[id] }
 
 // throughputCount counts the answers of an upstream to all instances over a window.
 type throughputCount struct {
@@ -156,7 +157,7 @@
 	if elapsed > 2*throughputWindow {
 		*count, elapsed = throughputCount{start: now}, 0
 	}
-	count.answers += samples.N + samples.Queued
+	count.answers += samples.Unqueued + samples.Queued
 	count.queueEvidence += samples.Queued + samples.Lost
 	count.lost += samples.Lost
 	if elapsed < throughputWindow {
--- a/internal/balance/speed_test.go
+++ b/internal/balance/speed_test.go
@@ -48,10 +48,10 @@
 			}
 		}
 	}
-	if got := leader.MeanTime(now, leader.Get("u0")); got < 0.7 || got > 1 {
+	if got := leader.LongMeanTime(now, leader.Get("u0")); got < 0.7 || got > 1 {
 		t.Errorf("mean service time of a saturated upstream = %.2f s, want 0.8 s", got)
 	}
-	if got := leader.MeanTime(now, leader.Get("u1")); got < 0.2 || got > 0.3 {
+	if got := leader.LongMeanTime(now, leader.Get("u1")); got < 0.2 || got > 0.3 {
 		t.Errorf("mean service time of an idle upstream = %.2f s, want 0.25 s", got)
 	}
 }
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -30,7 +30,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		h.Take(now, fleet.Limit{Rate: 1000, Burst: 200}, "i", limit.Call{ID: id, Waiting: 1})
+		h.HandleCall(now, fleet.Limit{Rate: 1000, Burst: 200}, "i", limit.Call{ID: id, Waiting: 1})
 	}
 }
 
--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -24,7 +24,7 @@
 	cells := nodes / size
 	c := Cell{Size: size, Cells: cells, Units: units / cells}
 	c.Record = m.recordBytes(size, c.Units)
-	c.Plan = m.valueAt("plan-lost", c.Units) + m.valueAt("assignment-encode", c.Units) + m.valueAt("assignment-decode", c.Units)
+	c.Plan = m.at("plan-lost", c.Units) + m.at("assignment-encode", c.Units) + m.at("assignment-decode", c.Units)
 	c.PollBytes, c.PollCPU = m.pollBytes(size), m.pollCPU(size)
 	voter := min(voters, size)
 	// A voter is polled by all other members and polls the other voters.
@@ -36,7 +36,7 @@
 	// a plan and the finished handovers.
 	c.ZoneWrites = 2 * cells / regions
 	c.AssignmentBytes = assignmentWriteRate / cells * c.Record * base64Factor
-	c.HomeCPU = homeSelectionRate(1/cells) * accounts / cells * m.valueAt("home-choice", size)
+	c.HomeCPU = homeSelectionRate(1/cells) * accounts / cells * m.at("home-choice", size)
 	// Every cell of the region sends each home one call per tokenCallInterval for all
 	// limits of the home. The homes of a region's accounts are instances of the region.
 	perHome := float64(accounts) / nodes
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -49,7 +49,7 @@
 	return m, nil
 }
 
-func (m model) valueAt(id string, x float64) float64 { return m.series[id].At(x) }
+func (m model) at(id string, x float64) float64 { return m.series[id].At(x) }
 
 func (m model) slope(id string) float64 { return m.series[id].Fit.Slope }
 
@@ -60,18 +60,18 @@
 // pollBytes returns the traffic in B/s of a member that polls n−1 others and is polled
 // by them, once per pollInterval each.
 func (m model) pollBytes(n float64) float64 {
-	return 2 * (n - 1) / pollInterval.Seconds() * (m.valueAt("poll-bytes", n) + callHeaderBytes)
+	return 2 * (n - 1) / pollInterval.Seconds() * (m.at("poll-bytes", n) + callHeaderBytes)
 }
 
 // pollCPU returns the processor time in ns/s that a member among n spends on polls.
 // For each other member it sends one poll and answers one poll per pollInterval.
 func (m model) pollCPU(n float64) float64 {
-	return (n - 1) / pollInterval.Seconds() * m.valueAt("poll-cpu", n)
+	return (n - 1) / pollInterval.Seconds() * m.at("poll-cpu", n)
 }
 
 // recordBytes returns the size in bytes of an assignment record with n members.
 func (m model) recordBytes(n, units float64) float64 {
-	return m.valueAt("assignment-bytes", units) + m.slope("members-bytes")*n
+	return m.at("assignment-bytes", units) + m.slope("members-bytes")*n
 }
 
 // homeSelectionRate returns how often per second an instance chooses the homes of all
@@ -85,24 +85,22 @@
 // memoryPerNode returns the bytes that an instance keeps for the whole fleet and for
 // its own upstreams.
 func (m model) memoryPerNode() float64 {
-	return m.valueAt("assignment-heap", units) + m.recordBytes(nodes, units) + m.valueAt("poll-heap", nodes) +
-		m.valueAt("metrics-heap", 200) + m.valueAt("dispatch-heap", upstreamsPerNode)
+	return m.at("assignment-heap", units) + m.recordBytes(nodes, units) + m.at("poll-heap", nodes) +
+		m.at("metrics-heap", 200) + m.at("dispatch-heap", upstreamsPerNode)
 }
 
 // cpuPerNode returns the processor time in ns/s that a node spends on records,
 // decisions, ticks and renewals.
 func (m model) cpuPerNode() float64 {
-	return assignmentWriteRate*m.valueAt("assignment-decode", units) + catalogueWriteRate*m.valueAt("catalogue-parse", 4000) +
-		requestsPerNode*(m.decisionCPU()+m.valueAt("dispatch-request", upstreamsPerNode)) +
-		100*(m.valueAt("dispatch-tick", upstreamsPerNode)+m.valueAt("holder-tick", requestsPerNode)) +
-		m.valueAt("control-calls", upstreamsPerNode)*m.slope("renew-cpu")
+	return assignmentWriteRate*m.at("assignment-decode", units) + catalogueWriteRate*m.at("catalogue-parse", 4000) +
+		requestsPerNode*(m.admitCPU()+m.at("dispatch-request", upstreamsPerNode)) +
+		100*(m.at("dispatch-tick", upstreamsPerNode)+m.at("holder-tick", requestsPerNode)) +
+		m.at("control-calls", upstreamsPerNode)*m.slope("renew-cpu")
 }
 
-// decisionCPU returns the processor time in ns that the receiving instance needs to
+// admitCPU returns the processor time in ns that the receiving instance needs to
 // route, authenticate and admit a request and to find the owner of its key.
-func (m model) decisionCPU() float64 {
-	return m.valueAt("route", 0) + m.valueAt("admit", 0) + m.valueAt("owner", 0)
-}
+func (m model) admitCPU() float64 { return m.at("route", 0) + m.at("admit", 0) + m.at("owner", 0) }
 
 func (m model) estimates() []Estimate {
 	return slices.Concat(m.receiverEstimates(), m.dispatcherEstimates(), m.homeEstimates(), m.plannerEstimates(), m.storeEstimates(), m.upstreamEstimates())
@@ -112,15 +110,15 @@
 	const role = "receiving instance"
 	return []Estimate{
 		{
-			role, "memory", "decoded assignment of 379,870 units", m.valueAt("assignment-heap", units), memoryBound, "B",
+			role, "memory", "decoded assignment of 379,870 units", m.at("assignment-heap", units), memoryBound, "B",
 			"units are shards: the table does not grow with the keys", "cells: each instance keeps its cell's units", "assignment-heap", units,
 		},
 		{
-			role, "memory", "catalogue index, if the keys in use are caller keys", m.valueAt("index-heap", keysInUse), memoryBound, "B",
+			role, "memory", "catalogue index, if the keys in use are caller keys", m.at("index-heap", keysInUse), memoryBound, "B",
 			"", "caller keys in hashed buckets, kept by the nodes and loaded on demand (see the two readings)", "index-heap", keysInUse,
 		},
 		{
-			role, "memory", "connections to all members, both ends", m.valueAt("poll-heap", nodes), memoryBound, "B",
+			role, "memory", "connections to all members, both ends", m.at("poll-heap", nodes), memoryBound, "B",
 			"one connection per direction and peer", "cells: connections within the cell, and to one instance of each other cell in use", "poll-heap", nodes,
 		},
 		{
@@ -141,7 +139,7 @@
 			"", "cells: a change is sent to the members of its cell only", "assignment-bytes", units,
 		},
 		{
-			role, "processor", "decoding of these records", assignmentWriteRate * m.valueAt("assignment-decode", units), cpuBound, "core",
+			role, "processor", "decoding of these records", assignmentWriteRate * m.at("assignment-decode", units), cpuBound, "core",
 			"one decoding per write; a plan covers all changes of 50 ms", "cells", "assignment-decode", units,
 		},
 		{
@@ -149,11 +147,11 @@
 			"", "the catalogue in parts per service, and changes sent as differences", "catalogue-bytes", 4000,
 		},
 		{
-			role, "processor", "parsing of it (4,000 caller keys)", catalogueWriteRate * m.valueAt("catalogue-parse", 4000), cpuBound, "core",
+			role, "processor", "parsing of it (4,000 caller keys)", catalogueWriteRate * m.at("catalogue-parse", 4000), cpuBound, "core",
 			"one parse per change", "the catalogue in parts per service", "catalogue-parse", 4000,
 		},
 		{
-			role, "processor", "decisions for 2,182 requests/s: route, authenticate, limit, owner", requestsPerNode * m.decisionCPU(), cpuBound, "core",
+			role, "processor", "decisions for 2,182 requests/s: route, authenticate, limit, owner", requestsPerNode * m.admitCPU(), cpuBound, "core",
 			"maps: the cost does not grow with keys or units", "fewer allocations in route.Decide; it is most of this line", "route", 1000,
 		},
 		{
@@ -161,11 +159,11 @@
 			"the lines above and below", "cells (no decoding for others), a queue of due times in the holder; decisions not counted as control", "", 0,
 		},
 		{
-			role, "memory", "metrics with 200 account labels", m.valueAt("metrics-heap", 200), memoryBound, "B",
+			role, "memory", "metrics with 200 account labels", m.at("metrics-heap", 200), memoryBound, "B",
 			"a fixed number of account labels", "fewer labels", "metrics-heap", 200,
 		},
 		{
-			role, "messages", "scrape of them every 15 s, not compressed", m.valueAt("metrics-scrape", 200) / scrapeInterval, bytesBound, "B/s",
+			role, "messages", "scrape of them every 15 s, not compressed", m.at("metrics-scrape", 200) / scrapeInterval, bytesBound, "B/s",
 			"a fixed number of account labels", "20 account labels, the busiest ones", "metrics-scrape", 200,
 		},
 	}
@@ -173,10 +171,10 @@
 
 func (m model) dispatcherEstimates() []Estimate {
 	const role = "dispatcher"
-	calls := m.valueAt("control-calls", upstreamsPerNode)
+	calls := m.at("control-calls", upstreamsPerNode)
 	return []Estimate{
 		{
-			role, "memory", "3 upstreams with 23 units each", m.valueAt("dispatch-heap", upstreamsPerNode), memoryBound, "B",
+			role, "memory", "3 upstreams with 23 units each", m.at("dispatch-heap", upstreamsPerNode), memoryBound, "B",
 			"a dispatcher keeps its own upstreams only", "more nodes", "dispatch-heap", upstreamsPerNode,
 		},
 		{
@@ -188,11 +186,11 @@
 			"one renewal per upstream and 200 ms", "a plain TCP exchange in place of HTTP", "renew-cpu", 1000,
 		},
 		{
-			role, "processor", "100 ticks/s", 100 * m.valueAt("dispatch-tick", upstreamsPerNode), cpuBound, "core",
+			role, "processor", "100 ticks/s", 100 * m.at("dispatch-tick", upstreamsPerNode), cpuBound, "core",
 			"a tick visits the dispatcher's own upstreams only", "a tick per due time", "dispatch-tick", upstreamsPerNode,
 		},
 		{
-			role, "processor", "decisions for 2,182 requests/s", requestsPerNode * m.valueAt("dispatch-request", upstreamsPerNode), cpuBound, "core",
+			role, "processor", "decisions for 2,182 requests/s", requestsPerNode * m.at("dispatch-request", upstreamsPerNode), cpuBound, "core",
 			"queues and slots per upstream", "more nodes", "dispatch-request", upstreamsPerNode,
 		},
 	}
@@ -219,11 +217,11 @@
 			"", "the same", "token-cpu", 1000,
 		},
 		{
-			role, "processor", "choice of the home for every limit on every instance, 15 times per change of the members", homeSelectionRate(1) * accounts * m.valueAt("home-choice", nodes), cpuBound, "core",
+			role, "processor", "choice of the home for every limit on every instance, 15 times per change of the members", homeSelectionRate(1) * accounts * m.at("home-choice", nodes), cpuBound, "core",
 			"", "choose among the members of a cell", "home-choice", nodes,
 		},
 		{
-			role, "processor", "100 ticks/s of a holder with 2,182 limits in use", 100 * m.valueAt("holder-tick", requestsPerNode), cpuBound, "core",
+			role, "processor", "100 ticks/s of a holder with 2,182 limits in use", 100 * m.at("holder-tick", requestsPerNode), cpuBound, "core",
 			"a tick visits the limits in use only", "a queue of due times; or requests of an account sent to few instances", "holder-tick", requestsPerNode,
 		},
 	}
@@ -231,7 +229,7 @@
 
 func (m model) plannerEstimates() []Estimate {
 	const role = "planner"
-	plan := m.valueAt("plan-lost", units) + m.valueAt("assignment-encode", units) + m.valueAt("assignment-decode", units)
+	plan := m.at("plan-lost", units) + m.at("assignment-encode", units) + m.at("assignment-decode", units)
 	return []Estimate{
 		{
 			role, "state", "assignment record", m.recordBytes(nodes, units), storeValueBound, "B",
@@ -242,11 +240,11 @@
 			"one pass over the units", "cells", "plan-lost", units,
 		},
 		{
-			role, "processor", "20 plans/s that change nothing", 20 * m.valueAt("plan-unchanged", units), cpuBound, "core",
+			role, "processor", "20 plans/s that change nothing", 20 * m.at("plan-unchanged", units), cpuBound, "core",
 			"one pass over the units", "a plan only after a report, a list or a member changed; cells", "plan-unchanged", units,
 		},
 		{
-			role, "memory", "input and result of a plan, with the record", 2*m.valueAt("assignment-heap", units) + m.recordBytes(nodes, units), memoryBound, "B",
+			role, "memory", "input and result of a plan, with the record", 2*m.at("assignment-heap", units) + m.recordBytes(nodes, units), memoryBound, "B",
 			"the units are copied only if one moves", "cells", "assignment-heap", units,
 		},
 		{
@@ -264,11 +262,11 @@
 	const role = "store"
 	return []Estimate{
 		{
-			role, "messages", "reads of changes by 5,500 instances", m.valueAt("store-reads", nodes), readsBound, "1/s",
+			role, "messages", "reads of changes by 5,500 instances", m.at("store-reads", nodes), readsBound, "1/s",
 			"", "one reader per cell that feeds the others through polls", "store-reads", nodes,
 		},
 		{
-			role, "messages", "reads of the instance list (no bound is stated; that of reads is taken)", m.valueAt("store-lists", nodes), readsBound, "1/s",
+			role, "messages", "reads of the instance list (no bound is stated; that of reads is taken)", m.at("store-lists", nodes), readsBound, "1/s",
 			"", "the reader of the cell", "store-lists", nodes,
 		},
 		{
@@ -280,7 +278,7 @@
 			"one plan for all losses; members, dispatchers and finished handovers", "", "", 0,
 		},
 		{
-			role, "state", "catalogue record, if the keys in use are caller keys", m.valueAt("catalogue-bytes", keysInUse), storeValueBound, "B",
+			role, "state", "catalogue record, if the keys in use are caller keys", m.at("catalogue-bytes", keysInUse), storeValueBound, "B",
 			"", "hashed buckets of caller keys, one value each", "catalogue-bytes", keysInUse,
 		},
 	}
@@ -290,7 +288,7 @@
 	const role = "upstream's view"
 	return []Estimate{
 		{
-			role, "messages", "control calls", m.valueAt("control-calls", upstreamsPerNode) / upstreamsPerNode, 10, "1/s",
+			role, "messages", "control calls", m.at("control-calls", upstreamsPerNode) / upstreamsPerNode, 10, "1/s",
 			"a single dispatcher, whatever the number of instances (bound: two per renewal interval)", "", "control-calls", upstreamsPerNode,
 		},
 		{
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -115,7 +115,7 @@
 		rows = append(rows, []string{l.Role, l.Kind, l.Quantity, formatValue(l.Value, l.Unit), formatValue(l.Bound, l.Unit), verdict, how, formatSource(m, l)})
 	}
 	return markdownTable(rows...) + fmt.Sprintf("\nA core makes %s dispatch decisions per second, and %s admissions with routing and look-up of the owner.\n",
-		formatThousands(1e9/m.valueAt("dispatch-request", upstreamsPerNode)), formatThousands(1e9/m.decisionCPU()))
+		formatThousands(1e9/m.at("dispatch-request", upstreamsPerNode)), formatThousands(1e9/m.admitCPU()))
 }
 
 // formatThousands rounds v to thousands.
@@ -141,17 +141,17 @@
 	perNode := 2 * keysInUse / nodes
 	return markdownTable(
 		[]string{"reading", "figure", "value", "carried"},
-		[]string{"caller keys", "one catalogue record", formatValue(m.valueAt("catalogue-bytes", keysInUse), "B"), "**no**: 1 MB"},
-		[]string{"caller keys", "index on every node", formatValue(m.valueAt("index-heap", keysInUse), "B"), "**no**: 256 MB"},
-		[]string{"caller keys", "time to build it", formatValue(m.valueAt("index-build", keysInUse), "ns"), "**no**: 4 s"},
+		[]string{"caller keys", "one catalogue record", formatValue(m.at("catalogue-bytes", keysInUse), "B"), "**no**: 1 MB"},
+		[]string{"caller keys", "index on every node", formatValue(m.at("index-heap", keysInUse), "B"), "**no**: 256 MB"},
+		[]string{"caller keys", "time to build it", formatValue(m.at("index-build", keysInUse), "ns"), "**no**: 4 s"},
 		[]string{"caller keys", "proposal: buckets of 700 kB, one store value each, " + formatValue(bucket, "") + " keys in each", formatValue(keysInUse/bucket, "") + " values", "open: the store's total size is not stated"},
 		[]string{"caller keys", "proposal: each bucket kept by two nodes, index per node", formatValue(m.slope("index-heap")*perNode, "B"), boundVerdict(m.slope("index-heap")*perNode, memoryBound)},
 		[]string{"caller keys", "proposal: first load of all buckets at 2,000 reads/s", formatValue(keysInUse/bucket/readsBound*1e9, "ns"), "open: the nodes serve what they hold meanwhile"},
 		[]string{"caller keys", "proposal: share of requests that may miss every node and read the store", formatValue(100*readsBound/totalRequestRate, "") + " %", "open: depends on the callers"},
 		[]string{"routing keys", "keys per shard with 379,500 shards", formatValue(keysInUse/units, ""), "yes: state grows with shards, not with keys"},
 		[]string{"routing keys", "assignment record", formatValue(m.recordBytes(nodes, units), "B"), "**no**: 1 MB; with cells yes"},
-		[]string{"routing keys", "for comparison: every key a unit of its own, record", formatValue(m.valueAt("assignment-bytes", keysInUse), "B"), "**no**; not proposed"},
-		[]string{"routing keys", "for comparison: every key a unit, memory of an instance", formatValue(m.valueAt("assignment-heap", keysInUse), "B"), "**no**; not proposed"},
+		[]string{"routing keys", "for comparison: every key a unit of its own, record", formatValue(m.at("assignment-bytes", keysInUse), "B"), "**no**; not proposed"},
+		[]string{"routing keys", "for comparison: every key a unit, memory of an instance", formatValue(m.at("assignment-heap", keysInUse), "B"), "**no**; not proposed"},
 	)
 }
 
@@ -169,12 +169,12 @@
 	for _, n := range []float64{5, 12, 24, 48, 200, 1000, nodes} {
 		rows = append(rows, []string{
 			formatValue(n, ""), formatValue(2*(n-1)/pollInterval.Seconds(), "1/s"), formatValue(m.pollBytes(n), "B/s"), formatValue(m.pollCPU(n), "core"),
-			formatValue(m.valueAt("poll-heap", n), "B"), boundVerdict(m.pollBytes(n), bytesBound), boundVerdict(m.pollCPU(n), cpuBound),
+			formatValue(m.at("poll-heap", n), "B"), boundVerdict(m.pollBytes(n), bytesBound), boundVerdict(m.pollCPU(n), cpuBound),
 		})
 	}
 	return markdownTable(rows...) + fmt.Sprintf("\nLargest member list within the bounds: %d by traffic, %d by processor, %d by reads of the store.\n",
 		largestCell(m.pollBytes, bytesBound), largestCell(m.pollCPU, cpuBound),
-		largestCell(func(n float64) float64 { return m.valueAt("store-reads", n) }, readsBound))
+		largestCell(func(n float64) float64 { return m.at("store-reads", n) }, readsBound))
 }
 
 func cellsTable(m model) string {
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -196,7 +196,7 @@
 			for i := range ids {
 				ids[i] = fleet.AccountLimit(account(i))
 				h.Activate(epoch, ids[i], 0)
-				h.Take(epoch, l, "instance-00001", limit.Call{ID: ids[i], Waiting: 1})
+				h.HandleCall(epoch, l, "instance-00001", limit.Call{ID: ids[i], Waiting: 1})
 			}
 			return h
 		})
@@ -205,7 +205,7 @@
 		now, i := epoch.Add(time.Second), 0
 		r.add("home-take", "answer to a token call", "limits", "ns", at, cpuTimePerCall(func() {
 			now = now.Add(time.Millisecond)
-			home.Take(now, l, "instance-00001", limit.Call{ID: ids[i%n], Waiting: 1})
+			home.HandleCall(now, l, "instance-00001", limit.Call{ID: ids[i%n], Waiting: 1})
 			i++
 		}))
 	}
@@ -218,7 +218,7 @@
 	for _, n := range []int{1e2, 1e3, 1e4} {
 		h := limit.NewHolder()
 		for i := range n {
-			h.Admit(epoch, []limit.Bounded{{ID: fleet.AccountLimit(account(i)), Limit: l}})
+			h.Admit(epoch, []limit.RequestLimit{{ID: fleet.AccountLimit(account(i)), Limit: l}})
 		}
 		r.add("holder-tick", "tick of a holder", "limits", "ns", float64(n), cpuTimePerCall(func() { h.Tick(epoch) }))
 		r.add("admit", "admission of a request", "limits", "ns", float64(n), admissionCPU(n))
@@ -235,13 +235,13 @@
 	takeTokens := func(now time.Time, list []limit.Call) {
 		for _, c := range list {
 			calls++
-			holder.Add(now, c.ID, home.Take(now, l, "instance-00001", c))
+			holder.AddLease(now, c.ID, home.HandleCall(now, l, "instance-00001", c))
 		}
 	}
-	bounds := make([][]limit.Bounded, n)
+	bounds := make([][]limit.RequestLimit, n)
 	for i := range bounds {
 		id := fleet.AccountLimit(account(i))
-		bounds[i] = []limit.Bounded{{ID: id, Limit: l}}
+		bounds[i] = []limit.RequestLimit{{ID: id, Limit: l}}
 		home.Activate(epoch, id, l.Burst)
 	}
 	tick, sent := 10*time.Millisecond, 0
@@ -268,7 +268,7 @@
 	for i := range n {
 		d := dispatch.Duty{
 			Upstream: fleet.UpstreamID(fmt.Sprintf("up-%05d", i)), Service: "s", Address: "10.0.0.1:80", Fence: 7,
-			Slots: 6, ColdSlots: 6, Fenced: true, Taken: epoch, Timeout: time.Second,
+			Slots: 6, ColdSlots: 6, Fenced: true, InForceSince: epoch, Timeout: time.Second,
 		}
 		for j := range unitsPerUpstream {
 			u := fleet.Unit{Service: "s", Shard: fleet.ShardID(i*unitsPerUpstream + j)}
@@ -349,12 +349,12 @@
 // holder that has tokens for the limits of n accounts and of one entry.
 func admissionCPU(n int) float64 {
 	h, l := limit.NewHolder(), fleet.Limit{Rate: 1e9, Burst: 1e9}
-	bounds := make([][]limit.Bounded, n)
+	bounds := make([][]limit.RequestLimit, n)
 	for i := range bounds {
-		bounds[i] = []limit.Bounded{{ID: fleet.AccountLimit(account(i)), Limit: l}, {ID: "entry:halls", Limit: l}}
-		h.Add(epoch, bounds[i][0].ID, limit.Lease{ID: 1, Granted: 1e12, TTL: tokenTTL})
+		bounds[i] = []limit.RequestLimit{{ID: fleet.AccountLimit(account(i)), Limit: l}, {ID: "entry:halls", Limit: l}}
+		h.AddLease(epoch, bounds[i][0].ID, limit.Lease{ID: 1, Granted: 1e12, TTL: tokenTTL})
 	}
-	h.Add(epoch, "entry:halls", limit.Lease{ID: 1, Granted: 1e12, TTL: tokenTTL})
+	h.AddLease(epoch, "entry:halls", limit.Lease{ID: 1, Granted: 1e12, TTL: tokenTTL})
 	i := 0
 	return cpuTimePerCall(func() {
 		h.Admit(epoch, bounds[i%n])
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -104,7 +104,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := fleet.Limit{Rate: 1e6, Burst: 1e6}
-	return peer.TokensAnswer{Lease: a.home.Take(time.Now(), l, m.Holder, m.Call)}
+	return peer.TokensAnswer{Lease: a.home.HandleCall(time.Now(), l, m.Holder, m.Call)}
 }
 
 // pollAnswer returns the answer of a member among n in a stable fleet: it has heard all
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -43,14 +43,14 @@
 	PeerListen    string
 	MetricsListen string        // empty: metrics are not served
 	Store         string        // address of the store
-	Grace         time.Duration // time from SIGTERM to SIGKILL
+	ShutdownGrace time.Duration // time from SIGTERM to SIGKILL
 	MaxMemory     int64         // memory limit in bytes; 0: unknown
-	Processor     float64       // CPU cores that the instance may use
+	CPUCores      float64       // CPU cores that the instance may use
 
-	Retry    RetryLimit
-	Quota    QuotaTolerance
-	MaxHold  time.Duration // longest allowed duration of a grant
-	MinLease time.Duration // shortest lease that the store accepts
+	Retry       RetryLimit
+	Quota       QuotaTolerance
+	MaxGrantTTL time.Duration // longest allowed duration of a grant
+	MinLeaseTTL time.Duration // shortest lease that the store accepts
 }
 
 // RetryLimit bounds the repeated requests that the upstreams of a service receive from
@@ -70,9 +70,9 @@
 	Slack   float64
 }
 
-// Operator is the state that operators set: the configuration and the zones whose
+// OperatorState is the state that operators set: the configuration and the zones whose
 // upstreams are to receive no requests.
-type Operator struct {
+type OperatorState struct {
 	Table     *routes.Table // nil before the first configuration
 	Source    []byte        // the configuration as encoded in the store
 	Evacuated map[fleet.ZoneID]bool
@@ -80,7 +80,7 @@
 }
 
 // Tag identifies the operator state. Instances compare tags to detect a difference.
-func (o *Operator) Tag() string {
+func (o *OperatorState) Tag() string {
 	if o == nil || o.Table == nil {
 		return ""
 	}
@@ -132,79 +132,81 @@
 	// Upstreams lists all registered upstreams. It omits registrations that it cannot
 	// decode and returns an error for each in unreadable.
 	Upstreams(ctx context.Context) (list []balance.Registration, unreadable []error, err error)
-	// Operator reads the complete operator state.
-	Operator(ctx context.Context) (Operator, error)
-	// FollowOperator waits up to wait for changes after cur.Revision and returns cur
-	// with these changes.
-	FollowOperator(ctx context.Context, cur Operator, wait time.Duration) (Operator, error)
+	// ReadOperatorState reads the complete operator state.
+	ReadOperatorState(ctx context.Context) (OperatorState, error)
+	// WatchOperatorState waits up to wait for changes after cur.Revision and returns
+	// cur with these changes.
+	WatchOperatorState(ctx context.Context, cur OperatorState, wait time.Duration) (OperatorState, error)
 	// Get returns the value of key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Item, error)
 	// Put executes w if its condition and all others are met, else it returns ErrConflict.
 	Put(ctx context.Context, w Write, also ...Condition) (fleet.Revision, error)
 	NewLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepLease renews a lease. It returns ErrLeaseEnded if the lease has ended.
-	KeepLease(ctx context.Context, id LeaseID) error
+	// RenewLease renews a lease. It returns ErrLeaseEnded if the lease has ended.
+	RenewLease(ctx context.Context, id LeaseID) error
 	EndLease(ctx context.Context, id LeaseID) error
 }
 
-// KeyHolders sends grants and releases of keys to upstreams.
-type KeyHolders interface {
-	// Order carries out one call. handover is set only by a release that succeeded.
-	Order(ctx context.Context, addr string, c keyspace.Call) (r keyspace.Result, handover string, err error)
+// HolderClient sends grants and releases of keys to upstreams.
+type HolderClient interface {
+	// Call carries out c. handover is set only by a release that succeeded.
+	Call(ctx context.Context, addr string, c keyspace.Call) (r keyspace.Result, handover string, err error)
 }
 
-// Asked holds the metadata of a caller's request, besides its method, path and body.
-type Asked struct {
-	ID         fleet.RequestID
-	Budget     time.Duration // time that the caller is willing to wait; 0: not given
-	Key        fleet.CallerKey
-	HasKey     bool
-	RoutingKey keyspace.Key
-	HasRouting bool
+// RequestMetadata holds the metadata of a caller's request, besides its method, path
+// and body.
+type RequestMetadata struct {
+	ID            fleet.RequestID
+	Timeout       time.Duration // time that the caller is willing to wait; 0: not given
+	CallerKey     fleet.CallerKey
+	HasCallerKey  bool
+	RoutingKey    keyspace.Key
+	HasRoutingKey bool
 }
 
-// Forwarded holds the metadata that an instance adds to a request to an upstream.
-type Forwarded struct {
+// ForwardMetadata holds the metadata that an instance adds to a request to an upstream.
+type ForwardMetadata struct {
 	Upstream fleet.UpstreamID // the addressed upstream
-	Left     time.Duration    // time left until the deadline
+	Timeout  time.Duration    // time left until the deadline
 	Account  fleet.AccountID  // empty: none
 }
 
-// Answer holds the metadata of an upstream's response, besides its status and body.
-type Answer struct {
-	ID     fleet.RequestID
-	NotRun bool          // the upstream states that it did not run the request
-	Moved  bool          // the upstream is not the addressed one, or does not hold the key
-	Load   *balance.Load // nil if the upstream did not report any
+// ResponseMetadata holds the metadata of an upstream's response, besides its status
+// and body.
+type ResponseMetadata struct {
+	ID        fleet.RequestID
+	NotRun    bool          // the upstream states that it did not run the request
+	NotHolder bool          // the upstream is not the addressed one, or does not hold the key
+	Load      *balance.Load // nil if the upstream did not report any
 }
 
 // Protocol encodes and decodes the metadata of requests and answers in HTTP headers.
 type Protocol interface {
-	// Asked decodes the headers of a caller's request.
-	Asked(h http.Header) (Asked, error)
-	// Forward returns the headers for an upstream: the caller's headers without the
-	// hop-by-hop ones and the caller key, and with those that encode f.
-	Forward(h http.Header, f Forwarded) http.Header
-	// Answer decodes the status and headers of an upstream's response.
-	Answer(status int, h http.Header) Answer
-	// Return returns the headers for the caller, given those of the upstream's
+	// ParseRequest decodes the headers of a caller's request.
+	ParseRequest(h http.Header) (RequestMetadata, error)
+	// UpstreamHeader returns the headers for an upstream: the caller's headers without
+	// the hop-by-hop ones and the caller key, and with those that encode f.
+	UpstreamHeader(h http.Header, f ForwardMetadata) http.Header
+	// ParseResponse decodes the status and headers of an upstream's response.
+	ParseResponse(status int, h http.Header) ResponseMetadata
+	// CallerHeader returns the headers for the caller, given those of the upstream's
 	// response.
-	Return(h http.Header) http.Header
-	// Refusal returns the headers of an answer that this instance generates itself.
-	Refusal(id fleet.RequestID, retryAfter time.Duration) http.Header
+	CallerHeader(h http.Header) http.Header
+	// RefusalHeader returns the headers of a response that this instance generates itself.
+	RefusalHeader(id fleet.RequestID, retryAfter time.Duration) http.Header
 	// HealthPath is the path of the platform's readiness check.
 	HealthPath() string
 }
 
 // Platform gives access to the services outside the fleet.
 type Platform struct {
-	Store    Store
-	Holders  KeyHolders
-	Protocol Protocol
-	Upstream *http1.Transport // connections to upstreams
-	// Configuration decodes Operator.Source, which the leader sends to the other
-	// instances.
-	Configuration func(source []byte) (*routes.Table, error)
-	// Settings reads the current settings.
-	Settings func() (Settings, error)
+	Store             Store
+	Holders           HolderClient
+	Protocol          Protocol
+	UpstreamTransport *http1.Transport // connections to upstreams
+	// DecodeConfiguration decodes OperatorState.Source, which the leader sends to the
+	// other instances.
+	DecodeConfiguration func(source []byte) (*routes.Table, error)
+	// ReadSettings reads the current settings.
+	ReadSettings func() (Settings, error)
 }
--- a/internal/direct/elect.go
+++ b/internal/direct/elect.go
@@ -132,7 +132,7 @@
 // there is another leader.
 func (r *Router) campaign(ctx context.Context) (*leadership, error) {
 	r.mu.Lock()
-	delay := candidacyDelay(r.cfg.Processor, len(r.instances)) + time.Duration(r.rng.Int64N(int64(electionJitter)))
+	delay := candidacyDelay(r.cfg.CPUCores, len(r.instances)) + time.Duration(r.rng.Int64N(int64(electionJitter)))
 	r.mu.Unlock()
 	sleep(ctx, delay)
 	if _, err := r.readLeader(ctx); !errors.Is(err, ErrNotFound) {
@@ -144,7 +144,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	requestedAt := bootClock()
-	lease, err := r.platform.Store.NewLease(callCtx, max(leaderLeaseTTL, r.cfg.MinLease))
+	lease, err := r.platform.Store.NewLease(callCtx, max(leaderLeaseTTL, r.cfg.MinLeaseTTL))
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 		return nil, err
 	}
 	l.recordRev, l.recordedInstances, l.recordedCount = recordRev, record.Instances, len(record.Instances)
-	l.owner = keyspace.NewOwner(time.Now(), l.term, keyspace.Timing{Hold: min(grantTTL, r.cfg.MaxHold), Renew: grantRenewInterval, Retry: grantRetryDelay}, record)
+	l.coordinator = keyspace.NewCoordinator(time.Now(), l.term, keyspace.Timing{Hold: min(grantTTL, r.cfg.MaxGrantTTL), Renew: grantRenewInterval, Retry: grantRetryDelay}, record)
 	return l, nil
 }
 
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -100,7 +100,7 @@
 // syncOperator keeps the operator state up to date.
 func (r *Router) syncOperator(ctx context.Context) {
 	if r.cfg.FirstStart { // nothing has been recorded; the leader sends the complete state
-		r.awaitLeader(ctx, func() bool { return r.operator.Load() != nil })
+		r.awaitLeader(ctx, func() bool { return r.operatorState.Load() != nil })
 	} else {
 		r.loadOwnership(ctx)
 	}
@@ -110,17 +110,17 @@
 		if known && r.awaitOperatorReadDue(ctx) {
 			known = false
 		}
-		cur := r.operator.Load()
+		cur := r.operatorState.Load()
 		requestedAt := time.Now()
-		var next Operator
+		var next OperatorState
 		var err error
 		if !known {
 			callCtx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
-			next, err = r.platform.Store.Operator(callCtx)
+			next, err = r.platform.Store.ReadOperatorState(callCtx)
 			cancel()
 		} else {
 			callCtx, cancel := context.WithTimeout(ctx, operatorWatchWait+storeTimeout)
-			next, err = r.platform.Store.FollowOperator(callCtx, *cur, operatorWatchWait)
+			next, err = r.platform.Store.WatchOperatorState(callCtx, *cur, operatorWatchWait)
 			cancel()
 		}
 		r.noteStoreResult(time.Now(), err)
@@ -134,18 +134,18 @@
 		}
 		delay = storeRetryDelay
 		known = true
-		r.setOperator(time.Now(), next)
+		r.setOperatorState(time.Now(), next)
 		if !r.isLeader() {
 			sleep(ctx, storeRetryDelay) // bounds the rate of store calls under frequent changes
 		}
 	}
 }
 
-// setOperator applies the operator state, known to be current as of now, unless a newer
-// one has been applied.
-func (r *Router) setOperator(now time.Time, next Operator) {
+// setOperatorState applies the operator state, known to be current as of now, unless a
+// newer one has been applied.
+func (r *Router) setOperatorState(now time.Time, next OperatorState) {
 	r.mu.Lock()
-	cur := r.operator.Load()
+	cur := r.operatorState.Load()
 	if cur != nil && next.Revision < cur.Revision {
 		r.mu.Unlock()
 		return
@@ -153,7 +153,7 @@
 	if cur != nil && cur.Table != nil && (next.Table == nil || next.Table.Version < cur.Table.Version) {
 		next.Table, next.Source = cur.Table, cur.Source // a configuration is never replaced by an older one
 	}
-	r.operator.Store(&next)
+	r.operatorState.Store(&next)
 	if next.Table != nil && (cur == nil || cur.Table == nil) {
 		close(r.configured)
 	}
@@ -185,7 +185,7 @@
 // updateReadiness marks the instance as ready for the platform's balancer once both the
 // configuration and the upstreams are known.
 func (r *Router) updateReadiness() {
-	op := r.operator.Load()
+	op := r.operatorState.Load()
 	r.mu.Lock()
 	listed := !r.listedAt.IsZero()
 	r.mu.Unlock()
@@ -273,7 +273,7 @@
 		r.wakeReports()
 	}
 	for _, c := range changes {
-		switch c.What {
+		switch c.Kind {
 		case "draining", "gone":
 			if _, seen := r.leavingSince[c.ID]; !seen {
 				r.leavingSince[c.ID] = now
@@ -284,7 +284,7 @@
 	}
 	r.mu.Unlock()
 	for _, c := range changes {
-		r.log.Info("upstream registration changed", "upstream", c.ID, "change", c.What)
+		r.log.Info("upstream registration changed", "upstream", c.ID, "change", c.Kind)
 	}
 	r.updateReadiness()
 }
--- a/internal/direct/follow_test.go
+++ b/internal/direct/follow_test.go
@@ -22,9 +22,9 @@
 	return nil, nil, ErrRefused
 }
 
-func (s *rejectingStore) Operator(context.Context) (Operator, error) {
+func (s *rejectingStore) ReadOperatorState(context.Context) (OperatorState, error) {
 	s.calls.Add(1)
-	return Operator{}, ErrRefused
+	return OperatorState{}, ErrRefused
 }
 
 // Guards against an instance whose store calls are rejected repeating them, at a charge
@@ -34,7 +34,7 @@
 	r := New(Settings{Instance: "a", FirstStart: true}, Platform{Store: store}, NewMetrics(), hclog.NewNullLogger())
 	ctx, cancel := context.WithTimeout(t.Context(), maxStoreRetryDelay*2)
 	defer cancel()
-	r.operator.Store(&Operator{})
+	r.operatorState.Store(&OperatorState{})
 	updateFromLeader := func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/internal/direct/forward.go
+++ b/internal/direct/forward.go
@@ -41,7 +41,7 @@
 	upstream *balance.Entry
 	id       fleet.UpstreamID
 	response *http1.Response
-	metadata Answer
+	metadata ResponseMetadata
 	err      error
 	verdict  balance.Verdict
 }
@@ -58,15 +58,15 @@
 	a := attempt{upstream: upstream, id: upstream.ID}
 	req := &http1.Request{
 		Method: x.method, Target: x.target, Host: x.host, Body: x.body,
-		Header: r.platform.Protocol.Forward(x.header, Forwarded{Upstream: upstream.ID, Left: x.deadline.Sub(sentAt), Account: x.account.ID}),
+		Header: r.platform.Protocol.UpstreamHeader(x.header, ForwardMetadata{Upstream: upstream.ID, Timeout: x.deadline.Sub(sentAt), Account: x.account.ID}),
 	}
-	a.response, a.err = r.platform.Upstream.Do(ctx, upstream.Addr, req, func(res *http1.Response) bool {
-		id := r.platform.Protocol.Answer(res.Status, res.Header).ID
+	a.response, a.err = r.platform.UpstreamTransport.Do(ctx, upstream.Addr, req, func(res *http1.Response) bool {
+		id := r.platform.Protocol.ParseResponse(res.Status, res.Header).ID
 		return id == "" || id == x.info.ID
 	})
 	now := time.Now()
 	if a.err == nil {
-		a.metadata = r.platform.Protocol.Answer(a.response.Status, a.response.Header)
+		a.metadata = r.platform.Protocol.ParseResponse(a.response.Status, a.response.Header)
 	}
 	a.verdict = classify(ctx, a)
 	r.mu.Lock()
@@ -75,7 +75,7 @@
 	x.attempts = append(x.attempts, formatAttempt(a, now.Sub(sentAt)))
 	r.mu.Unlock()
 	if noAnswer {
-		r.platform.Upstream.Forget(upstream.Addr) // its other connections may have failed silently too
+		r.platform.UpstreamTransport.CloseIdle(upstream.Addr) // its other connections may have failed silently too
 	}
 	return a
 }
@@ -86,13 +86,13 @@
 	switch {
 	case a.err != nil && errors.Is(ctx.Err(), context.Canceled):
 		return balance.Abandoned
-	case errors.Is(a.err, http1.ErrTurnedAway):
+	case errors.Is(a.err, http1.ErrConnRejected):
 		return balance.Full
 	case errors.As(a.err, &notSent):
 		return balance.Unreachable
 	case a.err != nil:
 		return balance.Silent
-	case a.metadata.Moved:
+	case a.metadata.NotHolder:
 		return balance.Declined
 	case a.metadata.NotRun:
 		return balance.Full
@@ -112,7 +112,7 @@
 }
 
 func upstreamOutcome(p Protocol, a attempt) outcome {
-	return outcome{status: a.response.Status, header: p.Return(a.response.Header), body: a.response.Body}
+	return outcome{status: a.response.Status, header: p.CallerHeader(a.response.Header), body: a.response.Body}
 }
 
 // chooseUpstream selects an upstream by load balancing and counts the request as in
@@ -145,9 +145,9 @@
 		return time.Hour
 	}
 	r.mu.Lock()
-	typical := r.upstreams.Typical(x.service.ID)
+	meanTime := r.upstreams.ServiceMeanTime(x.service.ID)
 	r.mu.Unlock()
-	return max(time.Duration(hedgeFactor*typical*float64(time.Second)), time.Duration(minHedgeShare*float64(x.route.Target)))
+	return max(time.Duration(hedgeFactor*meanTime*float64(time.Second)), time.Duration(minHedgeShare*float64(x.route.Target)))
 }
 
 // forwardToAny sends x to an upstream of an unsharded service. If an attempt fails and
@@ -264,7 +264,7 @@
 // forwardToHolder sends x to the upstream that holds its key. It waits while the key is
 // being moved.
 func (r *Router) forwardToHolder(ctx context.Context, x *exchange) outcome {
-	if !x.info.HasRouting {
+	if !x.info.HasRoutingKey {
 		return refuse(http.StatusBadRequest, "no-routing-key", 0)
 	}
 	for {
@@ -299,7 +299,7 @@
 	var notSent *http1.NotSentError
 	retry := false
 	switch {
-	case errors.Is(a.err, http1.ErrTurnedAway):
+	case errors.Is(a.err, http1.ErrConnRejected):
 		return refuse(http.StatusServiceUnavailable, "holder-full", retryAfterFull), true
 	case errors.As(a.err, &notSent):
 		x.arrivals--
@@ -311,7 +311,7 @@
 		}
 		retry = true
 		sleep(ctx, lostRetryDelay*time.Duration(x.arrivals))
-	case a.metadata.Moved:
+	case a.metadata.NotHolder:
 		if out, ok := r.awaitHolder(ctx, x, changed, "holder-moved", movedWaitShare); !ok {
 			return out, true
 		}
--- a/internal/direct/homes.go
+++ b/internal/direct/homes.go
@@ -45,7 +45,7 @@
 		defer r.mu.Unlock()
 		return r.quota.Admit(x.receivedAt, id, limit, n)
 	}
-	r.quota.CountedElsewhere(x.receivedAt, id, limit)
+	r.quota.CountedByHome(x.receivedAt, id, limit)
 	homes := r.availableHomes(x.receivedAt, id)
 	if len(homes) > 0 && homes[0].ID == r.cfg.Instance {
 		defer r.mu.Unlock()
@@ -59,7 +59,7 @@
 		ok, wait, err := r.requestToken(ctx, home, id)
 		r.mu.Lock()
 		if err == nil {
-			r.fallbackQuota.CountedElsewhere(x.receivedAt, id, limit)
+			r.fallbackQuota.CountedByHome(x.receivedAt, id, limit)
 			r.mu.Unlock()
 			return ok, wait
 		}
@@ -139,7 +139,7 @@
 	id, err := url.QueryUnescape(req.URL.RawQuery)
 	var account routes.Account
 	known := false
-	if op := r.operator.Load(); err == nil && op != nil && op.Table != nil {
+	if op := r.operatorState.Load(); err == nil && op != nil && op.Table != nil {
 		account, known = op.Table.Accounts[fleet.AccountID(id)]
 	}
 	if !known {
--- a/internal/direct/lead.go
+++ b/internal/direct/lead.go
@@ -69,12 +69,12 @@
 }
 
 // leadership is the state of the leading instance. Only the loop in Router.lead uses
-// owner.
+// coordinator.
 type leadership struct {
 	term              uint64 // revision of the leader key
 	lease             LeaseID
 	validUntil        time.Duration // on the clock of bootClock
-	owner             *keyspace.Owner
+	coordinator       *keyspace.Coordinator
 	recordRev         fleet.Revision // revision of the stored ownership record
 	callResults       chan callResult
 	saveResults       chan saveResult
@@ -176,7 +176,7 @@
 		case <-l.stop:
 			return
 		case res := <-l.callResults:
-			l.owner.Ended(time.Now(), res.call, res.result, res.handover)
+			l.coordinator.CallEnded(time.Now(), res.call, res.result, res.handover)
 		case res := <-l.saveResults:
 			if !r.handleSaveResult(l, res) {
 				return
@@ -219,20 +219,20 @@
 		r.sumDemand(now, l)
 		r.setCandidates(now, l)
 		if leaseValid {
-			l.owner.Plan(now)
+			l.coordinator.Plan(now)
 			r.logMoves(l)
 		}
 	}
 	if leaseValid {
 		r.saveRecord(ctx, now, l)
 	}
-	for _, c := range l.owner.Calls(now) {
+	for _, c := range l.coordinator.Calls(now) {
 		r.sendCall(ctx, l, c)
 	}
 	if now.Before(l.publishDue) {
 		return true
 	}
-	if holderMap, changed := l.owner.Map(); changed {
+	if holderMap, changed := l.coordinator.Map(); changed {
 		l.publishDue = now.Add(publishInterval * time.Duration(len(l.members)) / smallFleetSize)
 		r.setHolderMap(holderMap)
 	}
@@ -263,7 +263,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	sentAt := bootClock()
-	err := r.platform.Store.KeepLease(ctx, l.lease)
+	err := r.platform.Store.RenewLease(ctx, l.lease)
 	l.renewResults <- renewResult{sentAt: sentAt, err: err}
 }
 
@@ -272,7 +272,7 @@
 	if l.saving {
 		return
 	}
-	record, onStored, changed := l.owner.Save(now)
+	record, onStored, changed := l.coordinator.Save(now)
 	if !changed {
 		return
 	}
@@ -347,7 +347,7 @@
 			}
 			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			var err error
-			res.result, res.handover, err = r.platform.Holders.Order(callCtx, addr, c)
+			res.result, res.handover, err = r.platform.Holders.Call(callCtx, addr, c)
 			cancel()
 			r.logCall(c, res, err)
 		}
@@ -371,16 +371,16 @@
 
 // logMoves logs and counts the newly planned moves of key spans.
 func (r *Router) logMoves(l *leadership) {
-	for _, m := range l.owner.Moves() {
+	for _, m := range l.coordinator.Moves() {
 		r.metrics.countMove(m.Cause)
 		r.log.Info("key span move planned", "service", m.Service, "from", m.From, "to", m.To, "first", m.Span.From, "last", m.Span.To,
 			"cause", m.Cause, "rate", m.Rate, "term", l.term)
 	}
 }
 
-// setCandidates passes the upstreams that may hold keys to the owner.
+// setCandidates passes the upstreams that may hold keys to the coordinator.
 func (r *Router) setCandidates(now time.Time, l *leadership) {
-	op := r.operator.Load()
+	op := r.operatorState.Load()
 	if op == nil || op.Table == nil {
 		return
 	}
@@ -393,21 +393,21 @@
 		if !s.Sharded {
 			continue
 		}
-		l.owner.SetUpstreams(now, id, r.holderCandidates(now, id))
+		l.coordinator.SetUpstreams(now, id, r.holderCandidates(now, id))
 	}
 }
 
-// holderCandidates describes the upstreams of a service to the keyspace owner. The
+// holderCandidates describes the upstreams of a service to the keyspace coordinator. The
 // caller must hold mu.
 func (r *Router) holderCandidates(now time.Time, id fleet.ServiceID) []keyspace.Upstream {
 	entries := r.upstreams.Service(id)
 	mean := 0.0
 	for _, e := range entries {
-		mean += max(r.upstreams.MeanTime(now, e), minServiceTime) / float64(len(entries))
+		mean += max(r.upstreams.LongMeanTime(now, e), minServiceTime) / float64(len(entries))
 	}
 	var list []keyspace.Upstream
 	for _, e := range entries {
-		s := max(r.upstreams.MeanTime(now, e), minServiceTime)
+		s := max(r.upstreams.LongMeanTime(now, e), minServiceTime)
 		list = append(list, keyspace.Upstream{
 			ID: e.ID, Boot: e.Boot, Usable: r.upstreams.Usable(e), Cold: e.Cold(now),
 			Capacity: float64(e.Slots) / s, Speed: mean / s,
@@ -435,7 +435,7 @@
 	}
 	current = mergeInstances(current, l.recordedInstances, now.Sub(l.startedAt))
 	shrunk := float64(len(current)) < float64(l.recordedCount)*minRecordedShare
-	l.owner.SetInstances(current, shrunk || len(current) > l.recordedCount)
+	l.coordinator.SetInstances(current, shrunk || len(current) > l.recordedCount)
 	if shrunk || len(current) > l.recordedCount {
 		l.recordedCount = len(current)
 	}
--- a/internal/direct/message.go
+++ b/internal/direct/message.go
@@ -45,7 +45,7 @@
 			return err
 		})
 		if err == nil && len(values) == 4 {
-			out[fleet.UpstreamID(id)] = balance.Samples{N: values[0], Sum: float64(values[1]) / 1000, Queued: values[2], Lost: values[3]}
+			out[fleet.UpstreamID(id)] = balance.Samples{Unqueued: values[0], UnqueuedSeconds: float64(values[1]) / 1000, Queued: values[2], Lost: values[3]}
 		}
 		return err
 	})
@@ -81,8 +81,8 @@
 	for id, s := range r.ServiceTimes { // [answers without a queue, sum of their times in ms, answers with a queue, lost requests]
 		e.FieldStart(string(id))
 		e.ArrStart()
-		e.Int(s.N)
-		e.Int(int(s.Sum * 1000))
+		e.Int(s.Unqueued)
+		e.Int(int(s.UnqueuedSeconds * 1000))
 		e.Int(s.Queued)
 		e.Int(s.Lost)
 		e.ArrEnd()
@@ -301,13 +301,13 @@
 	if err != nil {
 		return err
 	}
-	r.MapSpans = make(map[fleet.ServiceID][]keyspace.Held)
+	r.MapSpans = make(map[fleet.ServiceID][]keyspace.HeldSpan)
 	for id, n := range spans {
 		for ; len(n) >= 3; n = n[3:] {
 			if n[2] < 0 || n[2] >= len(holders) {
 				return errors.Errorf("map: holder index %d out of range for %d holders", n[2], len(holders))
 			}
-			r.MapSpans[id] = append(r.MapSpans[id], keyspace.Held{Span: keyspace.Span{From: keyspace.Key(n[0]), To: keyspace.Key(n[1])}, Holder: holders[n[2]]})
+			r.MapSpans[id] = append(r.MapSpans[id], keyspace.HeldSpan{Span: keyspace.Span{From: keyspace.Key(n[0]), To: keyspace.Key(n[1])}, Holder: holders[n[2]]})
 		}
 	}
 	return nil
--- a/internal/direct/metrics.go
+++ b/internal/direct/metrics.go
@@ -108,7 +108,7 @@
 		m.knowledgeAge.WithLabelValues("leader").Set(0)
 	}
 	m.instances.Set(float64(len(r.instances)))
-	if op := r.operator.Load(); op != nil && op.Table != nil {
+	if op := r.operatorState.Load(); op != nil && op.Table != nil {
 		m.configurationVersion.Set(float64(op.Table.Version))
 	}
 	m.upstreams.Reset()
--- a/internal/direct/metrics_test.go
+++ b/internal/direct/metrics_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("ages of unknown state: %q", got)
 	}
 	now := time.Now()
-	r.setOperator(now, Operator{Table: routes.NewTable(7, nil, nil, nil, nil)})
+	r.setOperatorState(now, OperatorState{Table: routes.NewTable(7, nil, nil, nil, nil)})
 	r.setInstances(peersNamed(3))
 	r.setUpstreams(now, now.Add(-time.Minute), []balance.Registration{
 		{ID: "a", Service: "s", Draining: true}, {ID: "b", Service: "s", ColdLeft: time.Hour}, {ID: "c", Service: "s"},
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -62,7 +62,7 @@
 	servers := make(map[fleet.InstanceID]*Router)
 	for i := range 4 {
 		r, p := newRouter(t, fleet.InstanceID(fmt.Sprint("i", i)))
-		r.operator.Store(&Operator{Table: table})
+		r.operatorState.Store(&OperatorState{Table: table})
 		routers, peers = append(routers, r), append(peers, p)
 		servers[p.ID] = r
 	}
@@ -127,7 +127,7 @@
 // may not have.
 func TestRecordedHoldersServeUntilElection(t *testing.T) {
 	r, _ := newRouter(t, "i1")
-	r.platform.Store = ownershipStore{record: keyspace.Record{Services: map[fleet.ServiceID][]keyspace.RecordPiece{"s": {
+	r.platform.Store = ownershipStore{record: keyspace.Record{Services: map[fleet.ServiceID][]keyspace.RecordShard{"s": {
 		{Span: keyspace.Span{From: 0, To: 99}, Holder: "u1"}, {Span: keyspace.Span{From: 100, To: 65535}, Holder: "u2", Moving: true},
 	}}}}
 	r.loadOwnership(t.Context())
@@ -157,7 +157,7 @@
 	}
 	done := make(chan bool)
 	go func() { done <- r.awaitConfiguration(t.Context()) }()
-	r.setOperator(time.Now(), Operator{Table: routes.NewTable(1, nil, nil, nil, nil)})
+	r.setOperatorState(time.Now(), OperatorState{Table: routes.NewTable(1, nil, nil, nil, nil)})
 	if !<-done {
 		t.Error("the request did not wait for the configuration")
 	}
--- a/internal/direct/reload.go
+++ b/internal/direct/reload.go
@@ -38,7 +38,7 @@
 }
 
 func (r *Router) reload(signalled bool) {
-	next, err := r.platform.Settings()
+	next, err := r.platform.ReadSettings()
 	if err != nil {
 		r.log.Error("reloading the settings failed", "error", err)
 		return
@@ -48,10 +48,10 @@
 	changed := next != r.lastSettings
 	r.lastSettings = next
 	if changed {
-		r.cfg.Grace = next.Grace
+		r.cfg.ShutdownGrace = next.ShutdownGrace
 		if next.Retry != r.cfg.Retry {
 			r.cfg.Retry = next.Retry
-			r.retryBudgets = make(map[fleet.ServiceID]*balance.Budget)
+			r.retryBudgets = make(map[fleet.ServiceID]*balance.RetryBudget)
 		}
 		if next.Quota != r.cfg.Quota {
 			r.cfg.Quota = next.Quota
--- a/internal/direct/report.go
+++ b/internal/direct/report.go
@@ -85,7 +85,7 @@
 	// the changes from the instance's map, or the whole map if WholeMap is set.
 	MapVersion keyspace.MapVersion
 	WholeMap   bool
-	MapSpans   map[fleet.ServiceID][]keyspace.Held
+	MapSpans   map[fleet.ServiceID][]keyspace.HeldSpan
 	Members    []fleet.Peer                // empty if unchanged
 	Demand     map[fleet.AccountID]float64 // requests/s of all instances; nil if the report has none, or the sum is unknown
 	List       listDelta
@@ -109,7 +109,7 @@
 		rep.Demand, r.demandReportedAt = r.quota.Demand(now), now
 		r.reportedDemand = rep.Demand
 	}
-	op := r.operator.Load()
+	op := r.operatorState.Load()
 	rep.ServiceTimes = r.upstreams.TakeSamples(func(id fleet.ServiceID) bool {
 		return op != nil && op.Table != nil && op.Table.Services[id].Sharded
 	})
@@ -205,7 +205,7 @@
 		r.setListedAt(listedAt)
 	}
 	r.operatorSeqReceived = rp.OperatorSeq
-	if rp.OperatorTag != "" && rp.OperatorTag == r.operator.Load().Tag() {
+	if rp.OperatorTag != "" && rp.OperatorTag == r.operatorState.Load().Tag() {
 		r.operatorConfirmedAt = latest(r.operatorConfirmedAt, now.Add(-rp.OperatorAge))
 	}
 	fromStore := r.listFromStore
@@ -228,15 +228,15 @@
 	if rp.OperatorRevision == 0 {
 		return
 	}
-	next := Operator{Evacuated: make(map[fleet.ZoneID]bool), Revision: rp.OperatorRevision}
+	next := OperatorState{Evacuated: make(map[fleet.ZoneID]bool), Revision: rp.OperatorRevision}
 	for _, zone := range rp.Evacuated {
 		next.Evacuated[zone] = true
 	}
-	if cur := r.operator.Load(); cur != nil {
+	if cur := r.operatorState.Load(); cur != nil {
 		next.Table, next.Source = cur.Table, cur.Source
 	}
 	if len(rp.Source) > 0 {
-		table, err := r.platform.Configuration(rp.Source)
+		table, err := r.platform.DecodeConfiguration(rp.Source)
 		if err != nil {
 			r.log.Warn("decoding the configuration from the leader failed", "error", err)
 			r.requestOperatorRead()
@@ -244,7 +244,7 @@
 		}
 		next.Table, next.Source = table, rp.Source
 	}
-	r.setOperator(now.Add(-rp.OperatorAge), next)
+	r.setOperatorState(now.Add(-rp.OperatorAge), next)
 }
 
 // servePeer serves the requests of other instances: reports, queries for the leader and
@@ -313,7 +313,7 @@
 func (r *Router) reply(l *leadership, rep report) reply {
 	now := time.Now()
 	rp := reply{Term: l.term}
-	op := r.operator.Load()
+	op := r.operatorState.Load()
 	rp.OperatorTag = op.Tag()
 	if op != nil && op.Table != nil && rep.OperatorTag != rp.OperatorTag {
 		rp.OperatorRevision, rp.Evacuated = op.Revision, slices.Sorted(maps.Keys(op.Evacuated))
@@ -355,7 +355,7 @@
 	}
 	l.members[rep.Instance] = member{addr: rep.Addr, heardAt: now, demand: demand, storeAge: rep.StoreAge}
 	for id, keys := range rep.Keys {
-		h := l.owner.Heat(id)
+		h := l.coordinator.LoadCounter(id)
 		if h == nil {
 			continue
 		}
--- a/internal/direct/report_test.go
+++ b/internal/direct/report_test.go
@@ -21,7 +21,7 @@
 		Instance: "i1", Addr: "1.2.3.4:6", MapVersion: keyspace.MapVersion{Term: 3, Seq: 9},
 		Keys:         map[fleet.ServiceID][]keyspace.Key{"s": {1, 65535}},
 		Demand:       map[fleet.AccountID]float64{"a": 12.5},
-		ServiceTimes: map[fleet.UpstreamID]balance.Samples{"u": {N: 2, Sum: 0.25, Queued: 3, Lost: 1}},
+		ServiceTimes: map[fleet.UpstreamID]balance.Samples{"u": {Unqueued: 2, UnqueuedSeconds: 0.25, Queued: 3, Lost: 1}},
 		StoreAge:     1200 * time.Millisecond, InstancesHash: 10, ListTerm: 3, ListSeq: 7, OperatorSeq: 2, OperatorTag: "5 [z]",
 	}
 	got, err := decodeReport(rep.encode())
@@ -33,7 +33,7 @@
 	}
 	rp := reply{
 		Term: 3, MapVersion: keyspace.MapVersion{Term: 3, Seq: 10}, WholeMap: true,
-		MapSpans: map[fleet.ServiceID][]keyspace.Held{"s": {
+		MapSpans: map[fleet.ServiceID][]keyspace.HeldSpan{"s": {
 			{Span: keyspace.Span{From: 0, To: 9}, Holder: "u"}, {Span: keyspace.Span{From: 10, To: 65535}},
 		}},
 		Members: []fleet.Peer{{ID: "i1", Addr: "1.2.3.4:6"}}, Demand: map[fleet.AccountID]float64{"a": 3},
@@ -152,7 +152,7 @@
 // leader has it, and against an older state of the leader replacing a newer one.
 func TestOperatorStateIsTakenFromLeader(t *testing.T) {
 	r := New(Settings{Instance: "i1"}, Platform{}, NewMetrics(), hclog.NewNullLogger())
-	r.platform.Configuration = func(source []byte) (*routes.Table, error) {
+	r.platform.DecodeConfiguration = func(source []byte) (*routes.Table, error) {
 		v, err := strconv.Atoi(string(source))
 		return routes.NewTable(routes.Version(v), nil, nil, nil, nil), err
 	}
@@ -169,7 +169,7 @@
 		{reply{OperatorRevision: 90, Source: []byte("unreadable")}, "7 []"},
 	} {
 		r.applyOperator(now, step.reply)
-		if diff := cmp.Diff(step.want, r.operator.Load().Tag()); diff != "" {
+		if diff := cmp.Diff(step.want, r.operatorState.Load().Tag()); diff != "" {
 			t.Errorf("revision %d: %s", step.reply.OperatorRevision, diff)
 		}
 	}
@@ -194,7 +194,7 @@
 	if rep := r.collectReport(now.Add(2 * minLongPollWait)); rep.Demand == nil {
 		t.Error("after two long-poll waits: no demand")
 	}
-	l := &leadership{members: map[fleet.InstanceID]member{"b": {demand: map[fleet.AccountID]float64{"x": 7}}}, owner: keyspace.NewOwner(now, 1, keyspace.Timing{}, keyspace.Record{})}
+	l := &leadership{members: map[fleet.InstanceID]member{"b": {demand: map[fleet.AccountID]float64{"x": 7}}}, coordinator: keyspace.NewCoordinator(now, 1, keyspace.Timing{}, keyspace.Record{})}
 	r.applyReport(now, l, report{Instance: "b"})
 	r.sumDemand(now, l)
 	if diff := cmp.Diff(map[fleet.AccountID]float64{"x": 7}, r.totalDemand); diff != "" {
@@ -212,7 +212,7 @@
 		peers = append(peers, fleet.Peer{ID: fleet.InstanceID(fmt.Sprint("i", i))})
 	}
 	r.setInstances(peers)
-	l := &leadership{term: 2, startedAt: now, members: make(map[fleet.InstanceID]member), owner: keyspace.NewOwner(now, 1, keyspace.Timing{}, keyspace.Record{})}
+	l := &leadership{term: 2, startedAt: now, members: make(map[fleet.InstanceID]member), coordinator: keyspace.NewCoordinator(now, 1, keyspace.Timing{}, keyspace.Record{})}
 	for i, p := range peers {
 		rep := report{Instance: p.ID, Demand: map[fleet.AccountID]float64{"x": 5}}
 		r.applyReport(now, l, rep)
--- a/internal/direct/router.go
+++ b/internal/direct/router.go
@@ -50,10 +50,10 @@
 	boot     fleet.BootID
 	peers    *http1.Transport // connections to other instances
 
-	ready        atomic.Bool
-	shuttingDown atomic.Bool
-	operator     atomic.Pointer[Operator]
-	holderMap    atomic.Pointer[keyspace.Map]
+	ready         atomic.Bool
+	shuttingDown  atomic.Bool
+	operatorState atomic.Pointer[OperatorState]
+	holderMap     atomic.Pointer[keyspace.Map]
 
 	operatorReadRequests chan struct{} // requests syncOperator to read the complete operator state
 	configured           chan struct{} // closed once there is a configuration
@@ -69,7 +69,7 @@
 	homeQuota        *quota.Home                      // used for accounts whose home is this instance
 	homesByAccount   map[fleet.AccountID][]fleet.Peer // cache; follows from instances
 	homeFailedAt     map[fleet.InstanceID]time.Time   // last failure of homes to answer
-	retryBudgets     map[fleet.ServiceID]*balance.Budget
+	retryBudgets     map[fleet.ServiceID]*balance.RetryBudget
 	instances        []fleet.Peer
 	leavingSince     map[fleet.UpstreamID]time.Time // when this instance saw an upstream leave
 	evacuatedSince   map[fleet.ZoneID]time.Time     // when this instance saw a zone being evacuated
@@ -108,12 +108,12 @@
 	r := &Router{
 		cfg: cfg, lastSettings: cfg, platform: platform, log: log, metrics: m,
 		boot:                 fleet.BootID(strconv.FormatInt(now.UnixMilli(), 36)),
-		peers:                http1.NewTransport(http1.TransportConfig{DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, MaxBody: maxPeerBody, MaxIdle: 2, AllSilent: true}),
+		peers:                http1.NewTransport(http1.TransportConfig{DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, MaxBody: maxPeerBody, MaxIdlePerAddr: 2, CloseIdleOnError: true}),
 		operatorReadRequests: make(chan struct{}, 1), configured: make(chan struct{}),
 		leaderList: newLeaderList(), update: make(chan struct{}), recentMaps: make(map[keyspace.MapVersion]*keyspace.Map),
 		quota: quota.New(now, quota.Config(cfg.Quota)), fallbackQuota: quota.New(now, quota.Config(cfg.Quota)),
 		homeQuota: quota.NewHome(quota.Config(cfg.Quota)), homesByAccount: make(map[fleet.AccountID][]fleet.Peer), homeFailedAt: make(map[fleet.InstanceID]time.Time),
-		retryBudgets: make(map[fleet.ServiceID]*balance.Budget), holderMapUpdated: make(chan struct{}),
+		retryBudgets: make(map[fleet.ServiceID]*balance.RetryBudget), holderMapUpdated: make(chan struct{}),
 		requestedKeys: make(map[fleet.ServiceID][]keyspace.Key), leavingSince: make(map[fleet.UpstreamID]time.Time),
 		evacuatedSince: make(map[fleet.ZoneID]time.Time),
 		rng:            rand.New(rand.NewPCG(uint64(now.UnixNano()), rand.Uint64())),
@@ -126,7 +126,7 @@
 // warmUpLimits returns how long upstreams of a service are cold after their start, and
 // the rate at which all instances together may send requests to a cold one.
 func (r *Router) warmUpLimits(id fleet.ServiceID) (time.Duration, fleet.PerSecond) {
-	op := r.operator.Load()
+	op := r.operatorState.Load()
 	if op == nil || op.Table == nil {
 		return 0, 0
 	}
@@ -193,7 +193,7 @@
 	r.shuttingDown.Store(true)
 	r.ready.Store(false)
 	r.mu.Lock()
-	grace := r.cfg.Grace
+	grace := r.cfg.ShutdownGrace
 	r.mu.Unlock()
 	r.log.Info("instance shutting down", "grace", grace)
 	callers.Drain()
@@ -232,7 +232,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			r.platform.Upstream.CloseExpired(now)
+			r.platform.UpstreamTransport.CloseExpired(now)
 			r.peers.CloseExpired(now)
 		}
 	}
@@ -367,10 +367,10 @@
 }
 
 // retryBudget returns the retry budget of a service. The caller must hold mu.
-func (r *Router) retryBudget(id fleet.ServiceID) *balance.Budget {
+func (r *Router) retryBudget(id fleet.ServiceID) *balance.RetryBudget {
 	b := r.retryBudgets[id]
 	if b == nil {
-		b = balance.NewBudget(r.cfg.Retry.Ratio, r.cfg.Retry.Extra, r.cfg.Retry.Window)
+		b = balance.NewRetryBudget(r.cfg.Retry.Ratio, r.cfg.Retry.Extra, r.cfg.Retry.Window)
 		r.retryBudgets[id] = b
 	}
 	return b
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -30,7 +30,7 @@
 	method, target, host string
 	header               http.Header
 	body                 []byte
-	info                 Asked
+	info                 RequestMetadata
 	receivedAt           time.Time
 	deadline             time.Time
 	table                *routes.Table
@@ -66,7 +66,7 @@
 		if out.status == http.StatusGatewayTimeout && req.Context().Err() != nil {
 			return // the caller has closed the connection
 		}
-		out.header = r.platform.Protocol.Refusal(x.info.ID, out.retryAfter)
+		out.header = r.platform.Protocol.RefusalHeader(x.info.ID, out.retryAfter)
 	}
 	h := w.Header()
 	for name, values := range out.header {
@@ -82,7 +82,7 @@
 // handle decides on a request and forwards it.
 func (r *Router) handle(req *http.Request, x *exchange) outcome {
 	var err error
-	if x.info, err = r.platform.Protocol.Asked(req.Header); err != nil {
+	if x.info, err = r.platform.Protocol.ParseRequest(req.Header); err != nil {
 		return refuse(http.StatusBadRequest, "bad-header", 0)
 	}
 	if !strings.HasPrefix(x.target, "/") {
@@ -95,8 +95,8 @@
 		return refused
 	}
 	x.deadline = x.receivedAt.Add(x.route.Timeout)
-	if x.info.Budget > 0 && x.info.Budget < x.route.Timeout {
-		x.deadline = x.receivedAt.Add(x.info.Budget)
+	if x.info.Timeout > 0 && x.info.Timeout < x.route.Timeout {
+		x.deadline = x.receivedAt.Add(x.info.Timeout)
 	}
 	ctx, cancel := context.WithDeadline(req.Context(), x.deadline)
 	defer cancel()
@@ -112,14 +112,14 @@
 	if !r.awaitConfiguration(ctx) {
 		return refuse(http.StatusServiceUnavailable, "no-configuration", retryAfterNotReady), false
 	}
-	x.table = r.operator.Load().Table
+	x.table = r.operatorState.Load().Table
 	path, _, _ := strings.Cut(x.target, "?")
 	if x.route = x.table.Match(x.host, path); x.route == nil {
 		return refuse(http.StatusNotFound, "no-route", 0), false
 	}
-	if !x.route.Open && len(x.table.Accounts) > 0 {
+	if !x.route.Public && len(x.table.Accounts) > 0 {
 		known := false
-		if x.account, known = x.table.Account(x.info.Key); !known || !x.info.HasKey {
+		if x.account, known = x.table.Account(x.info.CallerKey); !known || !x.info.HasCallerKey {
 			return refuse(http.StatusUnauthorized, "unknown-key", 0), false
 		}
 	}
@@ -130,7 +130,7 @@
 	defer r.mu.Unlock()
 	x.service = x.table.Services[x.route.Pick(r.rng)]
 	r.retryBudget(x.service.ID).Request(x.receivedAt, r.instanceCount())
-	if x.service.Sharded && x.info.HasRouting && len(r.requestedKeys[x.service.ID]) < maxReportedKeys {
+	if x.service.Sharded && x.info.HasRoutingKey && len(r.requestedKeys[x.service.ID]) < maxReportedKeys {
 		r.requestedKeys[x.service.ID] = append(r.requestedKeys[x.service.ID], x.info.RoutingKey)
 	}
 	return outcome{}, true
--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -22,7 +22,7 @@
 	DispatcherFence fleet.Fence
 	Deadline        time.Time
 	StartBy         time.Time // must not be sent, or started by the upstream, at or after this time
-	Fresh           bool      // use a new connection
+	NewConnection   bool      // use a new connection
 }
 
 // CancelRequest closes the connection of an attempt whose response is no longer
@@ -159,8 +159,8 @@
 	BadAnswer            // the response belongs to another request
 )
 
-// Ran reports whether the request may have started.
-func (k ResultKind) Ran() bool {
+// MayHaveRun reports whether the request may have started.
+func (k ResultKind) MayHaveRun() bool {
 	return k == Answered || k == Lost || k == TimedOut || k == BadAnswer
 }
 
@@ -173,7 +173,7 @@
 }
 
 func (r Result) refusal() fleet.Refusal {
-	if r.Refusal != nil && (r.Refusal.Reason.Outcome() == fleet.Unknown) == r.Kind.Ran() {
+	if r.Refusal != nil && (r.Refusal.Reason.Outcome() == fleet.Unknown) == r.Kind.MayHaveRun() {
 		return *r.Refusal
 	}
 	switch r.Kind {
--- a/internal/dispatch/control.go
+++ b/internal/dispatch/control.go
@@ -76,7 +76,7 @@
 // requests. A fenced upstream rejects them itself once it has seen the higher
 // dispatcher fence.
 func (u *upstream) previousExcluded(now time.Time) bool {
-	return u.duty.Fenced || (!u.duty.Taken.IsZero() && !now.Before(u.duty.Taken))
+	return u.duty.Fenced || (!u.duty.InForceSince.IsZero() && !now.Before(u.duty.InForceSince))
 }
 
 func (t *Table) advanceSession(now time.Time, u *upstream) {
@@ -230,7 +230,7 @@
 	}
 	s.boot, s.bootKnown = boot, true
 	u.warmup.resetToCold(now, u.duty.ColdSlots)
-	if last := u.duty.Last; boot != "" && last.Boot == boot {
+	if last := u.duty.LastLimit; boot != "" && last.Boot == boot {
 		u.warmup.limit = max(u.warmup.limit, min(last.Limit, u.warmup.slots))
 	}
 	u.invalidateGrants()
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -218,7 +218,7 @@
 	}
 	t.emit(SendRequest{
 		ID: r.ID, Upstream: u.id, Address: u.duty.Address, Attempt: a.number, Unit: r.Unit,
-		Fence: x.grantedFence, DispatcherFence: u.duty.Fence, Deadline: r.Deadline, StartBy: startBy, Fresh: r.newConnection,
+		Fence: x.grantedFence, DispatcherFence: u.duty.Fence, Deadline: r.Deadline, StartBy: startBy, NewConnection: r.newConnection,
 	})
 	r.newConnection = false
 }
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -59,7 +59,7 @@
 // that restarts forgets the dispatcher fence, and the previous dispatcher could
 // grant the unit again.
 func (u *upstream) takeoverInForce(at time.Time) bool {
-	return !u.duty.Taken.IsZero() && !at.Before(u.duty.Taken)
+	return !u.duty.InForceSince.IsZero() && !at.Before(u.duty.InForceSince)
 }
 
 func (t *Table) revokeDone(now time.Time, u *upstream, c *pendingCall, res ControlResult) {
@@ -111,10 +111,10 @@
 // dispatcher came into force.
 func (t *Table) leaseExpired(now time.Time, u *upstream) bool {
 	s := &u.session
-	if s.phase != phaseHello || u.duty.Taken.IsZero() {
+	if s.phase != phaseHello || u.duty.InForceSince.IsZero() {
 		return false
 	}
-	end := u.duty.Taken.Add(t.cfg.LeaseTTL)
+	end := u.duty.InForceSince.Add(t.cfg.LeaseTTL)
 	if s.latestLeaseEnd.After(end) {
 		end = s.latestLeaseEnd
 	}
@@ -124,14 +124,14 @@
 // noRequestRunning reports whether no request for the unit can still run at an
 // unfenced upstream, whether sent by this dispatcher or by a previous one.
 func (t *Table) noRequestRunning(now time.Time, u *upstream, x *unit) bool {
-	if u.duty.Taken.IsZero() {
+	if u.duty.InForceSince.IsZero() {
 		return false
 	}
 	maxTimeout := u.duty.Timeout
 	if maxTimeout <= 0 {
 		maxTimeout = t.cfg.MaxRequestTimeout
 	}
-	if now.Before(u.duty.Taken.Add(maxTimeout + t.cfg.ClockSkew)) {
+	if now.Before(u.duty.InForceSince.Add(maxTimeout + t.cfg.ClockSkew)) {
 		return false
 	}
 	for _, a := range u.openAttempts {
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -77,7 +77,7 @@
 		}
 	default:
 	}
-	if res.Kind.Ran() && res.Kind != Answered {
+	if res.Kind.MayHaveRun() && res.Kind != Answered {
 		u.lingering = append(u.lingering, lingeringAttempt{
 			unit: a.unit, key: a.request.Key, slotUntil: now.Add(t.cfg.CancelGrace),
 			runsUntil: a.request.Deadline.Add(t.cfg.ClockSkew),
@@ -109,7 +109,7 @@
 
 func (t *Table) handleFailure(now time.Time, u *upstream, r *request, res Result) {
 	refusal := res.refusal()
-	if res.Kind.Ran() && r.unknownOutcome == nil {
+	if res.Kind.MayHaveRun() && r.unknownOutcome == nil {
 		r.unknownOutcome = &refusal
 	}
 	if res.Kind == Stale {
@@ -123,7 +123,7 @@
 		return
 	}
 	r.queued = true
-	r.newConnection = res.Kind.Ran() || res.Kind == NotSent
+	r.newConnection = res.Kind.MayHaveRun() || res.Kind == NotSent
 	if x := u.units[r.Unit]; x.state == unitGranted {
 		u.queue.pushFront(r)
 	} else {
@@ -136,7 +136,7 @@
 	if u.retired || x == nil || !x.owned || r.attempts >= maxAttempts || !now.Before(r.Deadline) || !t.hasAuthority(now) {
 		return false
 	}
-	return r.Idempotent || (r.unknownOutcome == nil && !res.Kind.Ran())
+	return r.Idempotent || (r.unknownOutcome == nil && !res.Kind.MayHaveRun())
 }
 
 // regrant causes a unit to be granted again after the upstream has refused a request
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -221,7 +221,7 @@
 		}
 		d := dispatch.Duty{
 			Upstream: upID(i), Service: "s", Address: string(upID(i)), Fence: r.fence[i], Slots: simSlots, ColdSlots: 1,
-			Fenced: s.fenced, Timeout: simTimeout, Taken: s.revisions[r.dispatcherSince[i]].inForce,
+			Fenced: s.fenced, Timeout: simTimeout, InForceSince: s.revisions[r.dispatcherSince[i]].inForce,
 		}
 		for _, o := range r.units {
 			if o.Owner == d.Upstream || slices.Contains(o.Previous, d.Upstream) {
@@ -397,7 +397,7 @@
 	}
 	delete(r.openAttempts, attempt)
 	s.openAttempts[[2]int{k, int(r.req.Upstream[1] - '0')}]--
-	r.mayRun = r.mayRun || res.Kind.Ran()
+	r.mayRun = r.mayRun || res.Kind.MayHaveRun()
 	s.execute(k, s.tables[k].Done(s.now, id, attempt, res))
 }
 
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -104,19 +104,19 @@
 	Slots, ColdSlots fleet.Slots // concurrency limits of the warm and the cold upstream
 	Fenced           bool        // the upstream checks fences
 	Leaving          bool        // the upstream is being taken out of service
-	// Taken is when the assignment that names this dispatcher came into force. From
+	// InForceSince is when the assignment that names this dispatcher came into force. From
 	// then on no previous dispatcher has authority. Zero means not yet.
-	Taken    time.Time
-	Shards   int                    // number of shards of the service
-	WarmTime time.Duration          // busy time after which a cold upstream can handle Slots requests
-	Last     Warmth                 // as last reported by the previous dispatcher
-	Timeout  time.Duration          // longest request timeout of the service; 0: Config.MaxRequestTimeout
-	Units    []assignment.Ownership // units that the upstream owns, or that name it in Previous
+	InForceSince time.Time
+	Shards       int                    // number of shards of the service
+	WarmTime     time.Duration          // busy time after which a cold upstream can handle Slots requests
+	LastLimit    KnownLimit             // as last reported by the previous dispatcher
+	Timeout      time.Duration          // longest request timeout of the service; 0: Config.MaxRequestTimeout
+	Units        []assignment.Ownership // units that the upstream owns, or that name it in Previous
 }
 
-// Warmth is the concurrency limit that one process of an upstream, identified by
+// KnownLimit is the concurrency limit that one process of an upstream, identified by
 // its boot id, had reached.
-type Warmth struct {
+type KnownLimit struct {
 	Boot  fleet.BootID
 	Limit fleet.Slots
 }
--- a/internal/dispatch/table_test.go
+++ b/internal/dispatch/table_test.go
@@ -35,7 +35,7 @@
 	start := time.Unix(1e9, 0)
 	h := &harness{tb: tb, table: dispatch.New(dispatch.Config{}), now: start, start: start, boot: "b1"}
 	h.duty = dispatch.Duty{
-		Upstream: "u0", Service: "s", Address: "a", Fence: 7, Slots: 4, ColdSlots: 4, Fenced: fenced, Taken: start, Timeout: time.Second,
+		Upstream: "u0", Service: "s", Address: "a", Fence: 7, Slots: 4, ColdSlots: 4, Fenced: fenced, InForceSince: start, Timeout: time.Second,
 		Units: []assignment.Ownership{{Unit: unitOf(0), Owner: "u0", Fence: 11}},
 	}
 	if change != nil {
@@ -128,7 +128,7 @@
 	for _, a := range h.actions {
 		switch a := a.(type) {
 		case dispatch.SendRequest:
-			out = append(out, fmt.Sprintf("send %s/%d fresh=%t", a.ID, a.Attempt, a.Fresh))
+			out = append(out, fmt.Sprintf("send %s/%d fresh=%t", a.ID, a.Attempt, a.NewConnection))
 		case dispatch.CancelRequest:
 			out = append(out, fmt.Sprintf("cancel %s/%d", a.ID, a.Attempt))
 		case dispatch.Answer:
@@ -209,13 +209,13 @@
 			h.expectActions("send r1/1 fresh=false")
 		}},
 		"new dispatcher of an unresponsive upstream waits for the lease of the previous one": {
-			change: func(d *dispatch.Duty) { d.Taken = time.Time{} },
+			change: func(d *dispatch.Duty) { d.InForceSince = time.Time{} },
 			do: func(h *harness) {
 				h.silent = true
 				h.moveUnitAway()
 				h.run(3 * time.Second)
 				h.expectReleased(12, false)
-				h.duty.Taken = h.now
+				h.duty.InForceSince = h.now
 				h.moveUnitAway()
 				h.run(900 * time.Millisecond)
 				h.expectReleased(12, false)
@@ -224,12 +224,12 @@
 			},
 		},
 		"revocation before the takeover is in force does not release": {
-			change: func(d *dispatch.Duty) { d.Taken = time.Time{} },
+			change: func(d *dispatch.Duty) { d.InForceSince = time.Time{} },
 			do: func(h *harness) {
 				h.moveUnitAway()
 				h.run(time.Second)
 				h.expectReleased(12, false)
-				h.duty.Taken = h.now
+				h.duty.InForceSince = h.now
 				h.moveUnitAway()
 				h.expectReleased(12, true)
 			},
@@ -247,12 +247,12 @@
 		}},
 		"unfenced upstream waits until the previous dispatcher has no authority": {
 			unfenced: true,
-			change:   func(d *dispatch.Duty) { d.Taken = time.Time{} },
+			change:   func(d *dispatch.Duty) { d.InForceSince = time.Time{} },
 			do: func(h *harness) {
 				h.submit("a", false, time.Second)
 				h.run(100 * time.Millisecond)
 				h.expectActions()
-				h.duty.Taken = h.now
+				h.duty.InForceSince = h.now
 				h.assign(h.duty.Units...)
 				h.expectActions("send r1/1 fresh=false")
 			},
@@ -451,12 +451,12 @@
 	h.expectActions("send r2/1 fresh=false")
 }
 
-// TestTakeoverKeepsWarmth guards against treating a warm upstream as cold because its
+// TestTakeoverKeepsKnownLimit guards against treating a warm upstream as cold because its
 // dispatcher changed, and a restarted one as warm.
-func TestTakeoverKeepsWarmth(t *testing.T) {
+func TestTakeoverKeepsKnownLimit(t *testing.T) {
 	for boot, want := range map[fleet.BootID]fleet.Slots{"b1": 4, "b0": 2} {
 		h := newHarness(t, true, func(d *dispatch.Duty) {
-			d.Slots, d.ColdSlots, d.Last = 6, 2, dispatch.Warmth{Boot: boot, Limit: 4}
+			d.Slots, d.ColdSlots, d.LastLimit = 6, 2, dispatch.KnownLimit{Boot: boot, Limit: 4}
 		})
 		h.run(50 * time.Millisecond)
 		if diff := cmp.Diff(want, h.table.Reports(h.now)["u0"].Limit); diff != "" {
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -15,7 +15,7 @@
 // Guards against a caller that keeps pipelining requests while the server drains:
 // it would hold its connection open until the server stops and aborts its last
 // requests.
-func TestDrainTakesNothingBehindARequest(t *testing.T) {
+func TestDrainRejectsPipelinedRequest(t *testing.T) {
 	release := make(chan struct{})
 	var ran atomic.Int32
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -54,7 +54,7 @@
 
 // Guards against a shutdown that closes a connection as idle although a request was
 // read from it whose goroutine has not started yet.
-func TestCloseIdleSparesArrivedRequest(t *testing.T) {
+func TestCloseIdleKeepsConnWithPendingRequest(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
 	res, err := http.Get("http://" + s.Addr())
 	if err != nil {
@@ -86,7 +86,7 @@
 // Guards against a draining server that rejects a request as pipelined because it
 // arrives just after the previous response, before the goroutine of that request has
 // ended.
-func TestDrainAnswersAfterAnAnswer(t *testing.T) {
+func TestDrainServesRequestAfterResponse(t *testing.T) {
 	s := listen(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
 	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -67,7 +67,7 @@
 
 // Guards against a truncated or unframed response that is returned as a success, and
 // against a sent request that is reported as not sent.
-func TestBrokenAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	tests := map[string]string{
 		"truncated body":   "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"truncated chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nA\r\nhalf",
@@ -217,7 +217,7 @@
 
 // Guards against a request that starts on a connection that a shutdown is closing:
 // its response would be lost.
-func TestRequestThatCrossesCloseDoesNotStart(t *testing.T) {
+func TestRequestDuringCloseDoesNotStart(t *testing.T) {
 	s := listen(t, func(http.ResponseWriter, *http.Request) {})
 	client, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -275,7 +275,7 @@
 
 // Guards against corrupted bodies when a response without Content-Length is larger
 // than nbhttp's packets: nbhttp then reuses a buffer that it has already released.
-func TestLargeAnswersWithoutLength(t *testing.T) {
+func TestLargeResponsesWithoutContentLength(t *testing.T) {
 	part := strings.Repeat("x", 40<<10)
 	s := listen(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -321,7 +321,7 @@
 // Guards against a request that does not run because its caller closed the
 // connection right after sending it: whether the request runs must not depend on
 // when the server reads it.
-func TestRequestRunsAfterItsCallerLeft(t *testing.T) {
+func TestRequestRunsAfterCallerDisconnects(t *testing.T) {
 	ran := make(chan bool, 1)
 	s := listen(t, func(http.ResponseWriter, *http.Request) { ran <- true })
 	for range 200 {
--- a/internal/http1/transport.go
+++ b/internal/http1/transport.go
@@ -30,27 +30,27 @@
 
 // TransportConfig configures a Transport.
 type TransportConfig struct {
-	DialTimeout time.Duration
-	IdleTimeout time.Duration // a connection that was idle for longer is not reused
-	MaxBody     int64         // largest response body in bytes
-	MaxIdle     int           // idle connections kept per address
-	// TurnsAway states that peers with too many connections accept a new one and reset
-	// it immediately. The outcome of a request written before the reset arrives is
+	DialTimeout    time.Duration
+	IdleTimeout    time.Duration // a connection that was idle for longer is not reused
+	MaxBody        int64         // largest response body in bytes
+	MaxIdlePerAddr int           // idle connections kept per address
+	// RejectsExcessConns states that peers with too many connections accept a new one and
+	// reset it immediately. The outcome of a request written before the reset arrives is
 	// unknown, so a new connection is used only after the time in which a reset would
 	// have arrived.
-	TurnsAway bool
-	// AllSilent closes all idle connections to an address when reading a response from
+	RejectsExcessConns bool
+	// CloseIdleOnError closes all idle connections to an address when reading a response from
 	// it fails, because the other connections may be dead as well. It suits peers that
 	// respond quickly.
-	AllSilent bool
+	CloseIdleOnError bool
 }
 
 // keepAliveMargin is subtracted from the timeout in a peer's Keep-Alive header, so
 // that the peer does not close a connection while a request is on its way.
 const keepAliveMargin = 1500 * time.Millisecond
 
-// ErrTurnedAway reports that the peer closed a new connection immediately.
-var ErrTurnedAway = errors.New("peer closed the connection immediately after accepting it")
+// ErrConnRejected reports that the peer closed a new connection immediately.
+var ErrConnRejected = errors.New("peer closed the connection immediately after accepting it")
 
 const (
 	// rejectRTTs is the time, in round-trip times, within which the reset of a new
@@ -76,8 +76,8 @@
 	expires time.Time
 }
 
-// Forget closes the idle connections to addr.
-func (t *Transport) Forget(addr string) {
+// CloseIdle closes the idle connections to addr.
+func (t *Transport) CloseIdle(addr string) {
 	t.mu.Lock()
 	conns := t.idle[addr]
 	delete(t.idle, addr)
@@ -145,8 +145,8 @@
 			_ = pc.conn.Close()
 		}
 		if err != nil {
-			if t.cfg.AllSilent {
-				t.Forget(addr)
+			if t.cfg.CloseIdleOnError {
+				t.CloseIdle(addr)
 			}
 			if ctx.Err() != nil {
 				err = ctx.Err()
@@ -172,19 +172,19 @@
 	}
 	d := net.Dialer{Timeout: t.cfg.DialTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
-	if t.cfg.TurnsAway && errors.Is(err, syscall.ECONNRESET) {
+	if t.cfg.RejectsExcessConns && errors.Is(err, syscall.ECONNRESET) {
 		// The connection was reset before the dial returned. Without a listener the error
 		// would be ECONNREFUSED.
-		return nil, false, ErrTurnedAway
+		return nil, false, ErrConnRejected
 	}
 	if err != nil {
 		return nil, false, err
 	}
-	if t.cfg.TurnsAway {
+	if t.cfg.RejectsExcessConns {
 		rtt := time.Since(now)
 		if !staysOpen(conn, min(time.Duration(rejectRTTs*float64(rtt))+rejectMargin, maxRejectWait)) {
 			_ = conn.Close()
-			return nil, false, ErrTurnedAway
+			return nil, false, ErrConnRejected
 		}
 	}
 	return &persistentConn{conn: conn, reader: bufio.NewReaderSize(conn, 2<<10)}, false, nil
@@ -228,7 +228,7 @@
 	pc.expires = now.Add(keep)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.idle[addr]) >= t.cfg.MaxIdle {
+	if len(t.idle[addr]) >= t.cfg.MaxIdlePerAddr {
 		return false
 	}
 	t.idle[addr] = append(t.idle[addr], pc)
--- a/internal/http1/transport_test.go
+++ b/internal/http1/transport_test.go
@@ -9,9 +9,9 @@
 	"github.com/go-faster/errors"
 )
 
-// TestTurnedAwayIsNotSent guards against requests that are reported as lost, with an
+// TestRejectedConnIsNotSent guards against requests that are reported as lost, with an
 // unknown outcome, although the peer reset the connection right after it was opened.
-func TestTurnedAwayIsNotSent(t *testing.T) {
+func TestRejectedConnIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,16 +27,16 @@
 			_ = c.Close()
 		}
 	}()
-	tr := NewTransport(TransportConfig{DialTimeout: time.Second, IdleTimeout: time.Second, MaxBody: 1 << 10, MaxIdle: 1, TurnsAway: true})
+	tr := NewTransport(TransportConfig{DialTimeout: time.Second, IdleTimeout: time.Second, MaxBody: 1 << 10, MaxIdlePerAddr: 1, RejectsExcessConns: true})
 	const tries = 20 // on a busy machine the peer may accept later than the transport waits
 	for range tries {
 		_, err := tr.Do(t.Context(), ln.Addr().String(), &Request{Method: http.MethodGet, Target: "/"}, nil)
 		var notSent *NotSentError
-		if errors.Is(err, ErrTurnedAway) && errors.As(err, &notSent) {
+		if errors.Is(err, ErrConnRejected) && errors.As(err, &notSent) {
 			return
 		}
 	}
-	t.Error("no request failed with ErrTurnedAway")
+	t.Error("no request failed with ErrConnRejected")
 }
 
 func TestStaysOpen(t *testing.T) {
--- a/internal/instance/dispatcher.go
+++ b/internal/instance/dispatcher.go
@@ -88,7 +88,7 @@
 		out = append(out, dispatch.Duty{
 			Upstream: u.ID, Service: u.Service, Address: u.Address, Fence: u.Fence,
 			Slots: service.Slots, ColdSlots: service.ColdSlots, Fenced: service.Fencing == catalogue.FencingChecked,
-			Leaving: u.State == assignment.Leaving || upstreamOutOfService(s, u), Taken: t.inForceAt, Shards: s.assignment.Shards(u.Service), WarmTime: service.WarmTime, Last: n.warmth[u.ID], Timeout: service.Timeout, Units: units[u.ID],
+			Leaving: u.State == assignment.Leaving || upstreamOutOfService(s, u), InForceSince: t.inForceAt, Shards: s.assignment.ShardCount(u.Service), WarmTime: service.WarmTime, LastLimit: n.knownLimits[u.ID], Timeout: service.Timeout, Units: units[u.ID],
 		})
 	}
 	n.terms = terms
--- a/internal/instance/forward.go
+++ b/internal/instance/forward.go
@@ -87,7 +87,7 @@
 	}
 	for _, u := range n.connectedAssignment.Upstreams {
 		if !upstreamAddrs[u.Address] {
-			go n.upstreams.Forget(u.Address)
+			go n.upstreams.Remove(u.Address)
 		}
 	}
 	n.connectedAssignment = s.assignment
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -86,7 +86,7 @@
 	plannerPollDue     bool                 // a dispatch event requires the planner to poll this instance
 	detailsPolledAt    map[string]time.Time // peer address -> time of the last poll that asked for details
 	terms              map[termKey]term
-	warmth             map[fleet.UpstreamID]dispatch.Warmth // last value reported by any dispatcher
+	knownLimits        map[fleet.UpstreamID]dispatch.KnownLimit // last limit reported by any dispatcher
 	pendingJobs        map[fleet.RequestID]*pendingJob
 	attemptCancels     map[attemptKey]context.CancelFunc
 	forwardPools       map[string]*http1.Pool
@@ -128,7 +128,7 @@
 		authority: authority.New(self.Run(), cfg.AuthorityTTL), members: newMemberTable(self.ID, self.Boot), phase: peer.Serving,
 		home: home, homes: newHomeTable(cfg.Instance, home), holder: limit.NewHolder(),
 		tokenCalls: map[fleet.LimitID]chan struct{}{}, dispatch: dispatch.New(dispatch.Config{Instance: cfg.Instance}),
-		detailsPolledAt: map[string]time.Time{}, terms: map[termKey]term{}, warmth: map[fleet.UpstreamID]dispatch.Warmth{}, pendingJobs: map[fleet.RequestID]*pendingJob{}, attemptCancels: map[attemptKey]context.CancelFunc{}, forwardPools: map[string]*http1.Pool{}, connectedAssignment: &assignment.Assignment{},
+		detailsPolledAt: map[string]time.Time{}, terms: map[termKey]term{}, knownLimits: map[fleet.UpstreamID]dispatch.KnownLimit{}, pendingJobs: map[fleet.RequestID]*pendingJob{}, attemptCancels: map[attemptKey]context.CancelFunc{}, forwardPools: map[string]*http1.Pool{}, connectedAssignment: &assignment.Assignment{},
 		pinTimes: map[fleet.ServiceID][]time.Time{}, lastSwaps: map[fleet.ServiceID]time.Time{}, snapshotChanged: make(chan struct{}),
 	}
 	n.current.Store(emptySnapshot())
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -12,7 +12,7 @@
 
 // acquireTokens takes one token of every limit, waiting until the deadline for
 // calls to the homes of the limits. It returns nil if the request is admitted.
-func (n *Instance) acquireTokens(ctx context.Context, limits []limit.Bounded, deadline time.Time) *fleet.Refusal {
+func (n *Instance) acquireTokens(ctx context.Context, limits []limit.RequestLimit, deadline time.Time) *fleet.Refusal {
 	for {
 		now := time.Now()
 		if !now.Before(deadline) || ctx.Err() != nil {
@@ -81,9 +81,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
-		n.holder.Fail(sent, c.ID)
+		n.holder.CallFailed(sent, c.ID)
 	} else {
-		n.holder.Add(sent, c.ID, lease)
+		n.holder.AddLease(sent, c.ID, lease)
 	}
 	if ch := n.tokenCalls[c.ID]; ch != nil {
 		close(ch)
@@ -122,7 +122,7 @@
 	if n.checkHome(now, id) != homeActive {
 		return peer.TokensAnswer{}
 	}
-	return peer.TokensAnswer{Lease: n.home.Take(now, bound, q.Holder, q.Call)}
+	return peer.TokensAnswer{Lease: n.home.HandleCall(now, bound, q.Holder, q.Call)}
 }
 
 // applyLimitChanges makes an empty call to every bucket, so that a changed limit
@@ -132,7 +132,7 @@
 	n.homes.needsCheck = true // the catalogue may contain new limits
 	for id := range n.homes.active {
 		bound, _ := s.index.Limit(id)
-		n.home.Take(now, bound, n.self.ID, limit.Call{ID: id})
+		n.home.HandleCall(now, bound, n.self.ID, limit.Call{ID: id})
 	}
 }
 
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -362,7 +362,7 @@
 		return
 	}
 	for id, r := range a.Reports {
-		n.warmth[id] = dispatch.Warmth{Boot: r.Boot, Limit: r.Limit}
+		n.knownLimits[id] = dispatch.KnownLimit{Boot: r.Boot, Limit: r.Limit}
 	}
 	n.authority.PeerAnswered(sent, now, runID(a.From, a.Boot), a.Known)
 }
--- a/internal/instance/planner.go
+++ b/internal/instance/planner.go
@@ -82,7 +82,7 @@
 		Current: s.assignment, Catalogue: s.catalogue, Listed: n.platformList,
 		Learned: len(s.assignment.Members) == 0 || n.authority.Learned(s.known),
 		Lost:    n.members.lost(now), Leaving: n.members.leaving(now), Joining: n.members.joining(now),
-		Reports: n.upstreamReports(now), LastPin: n.recentPins(now), LastSwap: maps.Clone(n.lastSwaps),
+		Reports: n.upstreamReports(now), RecentPins: n.recentPins(now), LastSwap: maps.Clone(n.lastSwaps),
 	}
 	if n.phase == peer.Draining {
 		in.Leaving = append(in.Leaving, n.self.ID)
--- a/internal/keyspace/calls.go
+++ b/internal/keyspace/calls.go
@@ -33,15 +33,15 @@
 )
 
 // Calls returns the calls that are due. The caller must report the result of each
-// with Ended.
-func (o *Owner) Calls(now time.Time) []Call {
+// with CallEnded.
+func (co *Coordinator) Calls(now time.Time) []Call {
 	var calls []Call
-	for _, s := range o.services {
+	for _, s := range co.services {
 		for _, sh := range s.shards {
 			if sh.callPending || now.Before(sh.nextCall) {
 				continue
 			}
-			if c, ok := o.nextCallFor(now, s, sh); ok {
+			if c, ok := co.nextCallFor(now, s, sh); ok {
 				sh.callPending = true
 				calls = append(calls, c)
 			}
@@ -52,14 +52,14 @@
 
 // nextCallFor advances the state of sh as far as that is possible without a call, and
 // returns the next call. It returns false if none is due.
-func (o *Owner) nextCallFor(now time.Time, s *service, sh *shard) (Call, bool) {
-	c := Call{Service: s.id, Upstream: sh.holder, Boot: sh.boot, Span: sh.Span, Fence: sh.fence, Hold: o.timing.Hold, Handover: sh.handover, shard: sh}
+func (co *Coordinator) nextCallFor(now time.Time, s *service, sh *shard) (Call, bool) {
+	c := Call{Service: s.id, Upstream: sh.holder, Boot: sh.boot, Span: sh.Span, Fence: sh.fence, Hold: co.timing.Hold, Handover: sh.handover, shard: sh}
 	if now.Before(sh.blockedUntil) {
 		sh.nextCall = sh.blockedUntil
 		return Call{}, false
 	}
 	if sh.next != nil && sh.recorded {
-		return o.nextMoveCall(now, s, sh, c)
+		return co.nextMoveCall(now, s, sh, c)
 	}
 	switch sh.state {
 	case stateHeld:
@@ -80,9 +80,9 @@
 
 // nextMoveCall returns the next call of a move whose record is stored. It returns
 // false if the move is complete without a call.
-func (o *Owner) nextMoveCall(now time.Time, s *service, sh *shard, c Call) (Call, bool) {
+func (co *Coordinator) nextMoveCall(now time.Time, s *service, sh *shard, c Call) (Call, bool) {
 	if now.After(sh.latestHoldEnd) || sh.holder == "" {
-		o.completeMove(now, sh, "")
+		co.completeMove(now, sh, "")
 		return Call{}, false
 	}
 	if u, known := s.upstreams[sh.holder]; known {
@@ -93,13 +93,13 @@
 	c.Handover = ""
 	c.Fence = sh.next.raisedFence
 	if sh.state == stateHeld {
-		o.mapChanged = true
+		co.mapChanged = true
 	}
 	switch {
 	case sh.state == stateReleasing:
-	case o.reachability[sh.holder].unreachable(now), sh.failures >= maxGrantFailures, sh.next.fenceRaises >= maxFenceRaises:
+	case co.reachability[sh.holder].unreachable(now), sh.failures >= maxGrantFailures, sh.next.fenceRaises >= maxFenceRaises:
 		sh.state = stateReleasing // another grant would only extend the hold
-	case now.After(sh.unconfirmedHoldEnd) && now.After(o.oldCallsEnd):
+	case now.After(sh.unconfirmedHoldEnd) && now.After(co.oldCallsEnd):
 		sh.state = stateReleasing // no grant can still be in flight
 	default:
 		sh.state = stateRaisingFence
@@ -111,52 +111,52 @@
 
 // completeMove makes the next holder of sh its holder. The next call grants the keys
 // to it.
-func (o *Owner) completeMove(now time.Time, sh *shard, handover string) {
+func (co *Coordinator) completeMove(now time.Time, sh *shard, handover string) {
 	n := sh.next
 	sh.holder, sh.boot, sh.fence, sh.next = n.holder, n.boot, n.fence, nil
 	sh.handover, sh.state, sh.nextCall, sh.failures = handover, stateGranting, now, 0
 	sh.latestHoldEnd, sh.unconfirmedHoldEnd, sh.everGranted = time.Time{}, time.Time{}, false
-	o.mapChanged = true
-	o.markOverstated(now) // a new leader need no longer wait for the former holder
+	co.mapChanged = true
+	co.markOverstated(now) // a new leader need no longer wait for the former holder
 }
 
-// Ended updates the state with the result of c, which must come from Calls. handover
+// CallEnded updates the state with the result of c, which must come from Calls. handover
 // is the text that an upstream returned when it released keys.
-func (o *Owner) Ended(now time.Time, c Call, r Result, handover string) {
+func (co *Coordinator) CallEnded(now time.Time, c Call, r Result, handover string) {
 	sh := c.shard
 	sh.callPending = false
-	o.updateReachability(now, c.Upstream, r)
+	co.updateReachability(now, c.Upstream, r)
 	if c.Release {
-		o.releaseEnded(now, sh, r, handover)
+		co.releaseEnded(now, sh, r, handover)
 		return
 	}
 	switch r {
 	case Done:
 		sh.latestHoldEnd = laterTime(sh.latestHoldEnd, now.Add(time.Duration(float64(c.Hold)*clockDriftFactor)))
 	case NoAnswer:
-		sh.unconfirmedHoldEnd = laterTime(sh.unconfirmedHoldEnd, o.latestExpiry(now))
+		sh.unconfirmedHoldEnd = laterTime(sh.unconfirmedHoldEnd, co.latestExpiry(now))
 		sh.latestHoldEnd = laterTime(sh.latestHoldEnd, sh.unconfirmedHoldEnd)
 	}
 	if sh.state == stateRaisingFence && c.Fence != sh.fence {
-		o.fenceRaiseEnded(now, sh, r)
+		co.fenceRaiseEnded(now, sh, r)
 		return
 	}
-	o.grantEnded(now, sh, r)
+	co.grantEnded(now, sh, r)
 }
 
-func (o *Owner) updateReachability(now time.Time, id fleet.UpstreamID, r Result) {
-	c := o.reachability[id]
+func (co *Coordinator) updateReachability(now time.Time, id fleet.UpstreamID, r Result) {
+	c := co.reachability[id]
 	if r == Done || r == Conflict {
 		c = reachability{lastDone: now}
 	} else {
 		c.failures++
 		c.lastFailed = now
 	}
-	o.reachability[id] = c
+	co.reachability[id] = c
 }
 
 // fenceRaiseEnded continues a move after a grant with a higher fencing token.
-func (o *Owner) fenceRaiseEnded(now time.Time, sh *shard, r Result) {
+func (co *Coordinator) fenceRaiseEnded(now time.Time, sh *shard, r Result) {
 	sh.nextCall = now
 	if r == Done {
 		sh.unconfirmedHoldEnd = time.Time{} // the holder refuses older grants from now on
@@ -167,12 +167,12 @@
 	sh.next.fenceRaises++
 }
 
-func (o *Owner) releaseEnded(now time.Time, sh *shard, r Result, handover string) {
+func (co *Coordinator) releaseEnded(now time.Time, sh *shard, r Result, handover string) {
 	if sh.next == nil {
 		return
 	}
 	if r != Done {
-		sh.nextCall = now.Add(o.timing.Retry)
+		sh.nextCall = now.Add(co.timing.Retry)
 		return
 	}
 	if now.Before(sh.unconfirmedHoldEnd) {
@@ -180,31 +180,31 @@
 		sh.latestHoldEnd, sh.nextCall = sh.unconfirmedHoldEnd, sh.unconfirmedHoldEnd
 		return
 	}
-	o.completeMove(now, sh, handover)
+	co.completeMove(now, sh, handover)
 }
 
-func (o *Owner) grantEnded(now time.Time, sh *shard, r Result) {
+func (co *Coordinator) grantEnded(now time.Time, sh *shard, r Result) {
 	switch r {
 	case Done:
 		sh.failures = 0
-		sh.nextCall = now.Add(o.timing.Renew)
+		sh.nextCall = now.Add(co.timing.Renew)
 		sh.handover = ""
 		if sh.state == stateGranting {
 			sh.state, sh.everGranted = stateHeld, true
-			o.mapChanged = true
+			co.mapChanged = true
 		}
 		if !sh.blockedUntil.IsZero() {
 			sh.blockedUntil = time.Time{}
-			o.markOverstated(now)
+			co.markOverstated(now)
 		}
 	case Conflict:
 		// Only leaders issue tokens, so the higher token that the upstream has seen came
 		// from another leader. Plan allocates a new token.
 		sh.failures = maxGrantFailures
-		sh.nextCall = now.Add(o.timing.Retry)
+		sh.nextCall = now.Add(co.timing.Retry)
 	default:
 		sh.failures++
-		sh.nextCall = now.Add(o.timing.Retry)
+		sh.nextCall = now.Add(co.timing.Retry)
 	}
 }
 
--- a/internal/keyspace/keyspace.go
+++ b/internal/keyspace/keyspace.go
@@ -2,7 +2,7 @@
 // calls that transfer keys between upstreams.
 //
 // Keys are numbers from 0 to 65,535. A shard is a span of keys with one holder and
-// one fencing token. Owner is the state of the leading instance: it assigns shards
+// one fencing token. Coordinator is the state of the leading instance: it assigns shards
 // by load, and produces the calls to upstreams that grant, renew and release them. It
 // reads no clock and does no I/O; its caller sends the calls and stores the records.
 //
@@ -35,8 +35,8 @@
 // Span is a range of keys. It includes From and To.
 type Span struct{ From, To Key }
 
-// Held is a span with its holder. The holder is empty while the span moves.
-type Held struct {
+// HeldSpan is a span with its holder. The holder is empty while the span moves.
+type HeldSpan struct {
 	Span
 	Holder fleet.UpstreamID
 }
@@ -53,13 +53,13 @@
 // Map contains the holder of every key. It is immutable.
 type Map struct {
 	Version  MapVersion
-	Services map[fleet.ServiceID][]Held // in order of keys
+	Services map[fleet.ServiceID][]HeldSpan // in order of keys
 }
 
 // Holder returns the upstream that holds k, or "" if no upstream holds it.
 func (m *Map) Holder(service fleet.ServiceID, k Key) fleet.UpstreamID {
 	spans := m.Services[service]
-	i, found := slices.BinarySearchFunc(spans, k, func(h Held, k Key) int { return cmp.Compare(h.To, k) })
+	i, found := slices.BinarySearchFunc(spans, k, func(h HeldSpan, k Key) int { return cmp.Compare(h.To, k) })
 	if !found && i == len(spans) {
 		return ""
 	}
@@ -67,8 +67,8 @@
 }
 
 // Diff returns the spans of m whose holder differs from that in old.
-func (m *Map) Diff(old *Map) map[fleet.ServiceID][]Held {
-	diff := make(map[fleet.ServiceID][]Held)
+func (m *Map) Diff(old *Map) map[fleet.ServiceID][]HeldSpan {
+	diff := make(map[fleet.ServiceID][]HeldSpan)
 	for id, spans := range m.Services {
 		before := old.Services[id]
 		j := 0
@@ -77,7 +77,7 @@
 				for j < len(before) && before[j].To < from {
 					j++
 				}
-				part := Held{Span: Span{from, h.To}, Holder: h.Holder}
+				part := HeldSpan{Span: Span{from, h.To}, Holder: h.Holder}
 				same := false
 				if j < len(before) {
 					part.To = min(h.To, before[j].To)
@@ -97,13 +97,13 @@
 }
 
 // With returns a copy of m with version v and the holders of diff for its spans.
-func (m *Map) With(v MapVersion, diff map[fleet.ServiceID][]Held) *Map {
-	out := &Map{Version: v, Services: make(map[fleet.ServiceID][]Held, len(m.Services))}
+func (m *Map) With(v MapVersion, diff map[fleet.ServiceID][]HeldSpan) *Map {
+	out := &Map{Version: v, Services: make(map[fleet.ServiceID][]HeldSpan, len(m.Services))}
 	for id, spans := range m.Services {
 		out.Services[id] = spans
 	}
 	for id, changes := range diff {
-		var spans []Held
+		var spans []HeldSpan
 		rest := out.Services[id]
 		for _, c := range changes {
 			for len(rest) > 0 && rest[0].To < c.From {
@@ -111,14 +111,14 @@
 				rest = rest[1:]
 			}
 			if len(rest) > 0 && rest[0].From < c.From {
-				spans = appendHeld(spans, Held{Span{rest[0].From, c.From - 1}, rest[0].Holder})
+				spans = appendHeld(spans, HeldSpan{Span{rest[0].From, c.From - 1}, rest[0].Holder})
 			}
 			spans = appendHeld(spans, c)
 			for len(rest) > 0 && rest[0].To <= c.To {
 				rest = rest[1:]
 			}
 			if len(rest) > 0 && rest[0].From <= c.To {
-				rest = append([]Held{{Span{c.To + 1, rest[0].To}, rest[0].Holder}}, rest[1:]...)
+				rest = append([]HeldSpan{{Span{c.To + 1, rest[0].To}, rest[0].Holder}}, rest[1:]...)
 			}
 		}
 		for _, h := range rest {
@@ -130,7 +130,7 @@
 }
 
 // appendHeld appends h, or extends the last span if both have the same holder.
-func appendHeld(spans []Held, h Held) []Held {
+func appendHeld(spans []HeldSpan, h HeldSpan) []HeldSpan {
 	if n := len(spans); n > 0 && spans[n-1].Holder == h.Holder {
 		spans[n-1].To = h.To
 		return spans
@@ -247,8 +247,8 @@
 	keyLoad    *LoadCounter
 }
 
-// Owner is the leader's assignment of all shards to upstreams.
-type Owner struct {
+// Coordinator is the leader's assignment of all shards to upstreams.
+type Coordinator struct {
 	timing          Timing
 	term            uint64
 	instances       []fleet.Peer // of the fleet
@@ -263,12 +263,12 @@
 	overstatedSince time.Time // when the record began to list holds that have ended; zero if it lists none
 }
 
-// NewOwner returns the state of a newly elected leader. rec is the record that the
+// NewCoordinator returns the state of a newly elected leader. rec is the record that the
 // previous leader stored.
-func NewOwner(now time.Time, term uint64, t Timing, rec Record) *Owner {
-	o := &Owner{timing: t, term: term, instances: rec.Instances, nextFence: max(rec.NextFence, 1), services: make(map[fleet.ServiceID]*service), reachability: make(map[fleet.UpstreamID]reachability), mapChanged: true}
-	latest := o.latestExpiry(now.Add(staleLeaderTime))
-	o.oldCallsEnd = latest
+func NewCoordinator(now time.Time, term uint64, t Timing, rec Record) *Coordinator {
+	co := &Coordinator{timing: t, term: term, instances: rec.Instances, nextFence: max(rec.NextFence, 1), services: make(map[fleet.ServiceID]*service), reachability: make(map[fleet.UpstreamID]reachability), mapChanged: true}
+	latest := co.latestExpiry(now.Add(staleLeaderTime))
+	co.oldCallsEnd = latest
 	for id, shards := range rec.Services {
 		s := &service{id: id, keyLoad: NewLoadCounter(), firstSeen: now}
 		for _, r := range shards {
@@ -279,34 +279,34 @@
 			}
 			s.shards = append(s.shards, sh)
 		}
-		o.services[id] = s
+		co.services[id] = s
 	}
-	return o
+	return co
 }
 
 // SetInstances sets the instances of the fleet, which the next record lists. If now is
 // true, the next Save returns a record even if nothing else has changed.
-func (o *Owner) SetInstances(list []fleet.Peer, now bool) {
-	o.instances = list
-	o.recordDirty = o.recordDirty || now
+func (co *Coordinator) SetInstances(list []fleet.Peer, now bool) {
+	co.instances = list
+	co.recordDirty = co.recordDirty || now
 }
 
-func (o *Owner) latestExpiry(now time.Time) time.Time {
-	return now.Add(time.Duration(float64(o.timing.Hold)*clockDriftFactor) + maxArrivalDelay)
+func (co *Coordinator) latestExpiry(now time.Time) time.Time {
+	return now.Add(time.Duration(float64(co.timing.Hold)*clockDriftFactor) + maxArrivalDelay)
 }
 
 // Map returns the map and true if it has changed since the last call.
-func (o *Owner) Map() (*Map, bool) {
-	if !o.mapChanged {
+func (co *Coordinator) Map() (*Map, bool) {
+	if !co.mapChanged {
 		return nil, false
 	}
-	o.mapChanged = false
-	o.mapSeq++
-	m := &Map{Version: MapVersion{Term: o.term, Seq: o.mapSeq}, Services: make(map[fleet.ServiceID][]Held)}
-	for id, s := range o.services {
-		var spans []Held
+	co.mapChanged = false
+	co.mapSeq++
+	m := &Map{Version: MapVersion{Term: co.term, Seq: co.mapSeq}, Services: make(map[fleet.ServiceID][]HeldSpan)}
+	for id, s := range co.services {
+		var spans []HeldSpan
 		for _, sh := range s.shards {
-			h := Held{Span: sh.Span}
+			h := HeldSpan{Span: sh.Span}
 			if sh.state == stateHeld {
 				h.Holder = sh.holder
 			}
@@ -317,9 +317,9 @@
 	return m, true
 }
 
-// Heat returns the load counter of a service, or nil if the service is unknown.
-func (o *Owner) Heat(id fleet.ServiceID) *LoadCounter {
-	if s := o.services[id]; s != nil {
+// LoadCounter returns the load counter of a service, or nil if the service is unknown.
+func (co *Coordinator) LoadCounter(id fleet.ServiceID) *LoadCounter {
+	if s := co.services[id]; s != nil {
 		return s.keyLoad
 	}
 	return nil
@@ -330,9 +330,9 @@
 type Stats struct{ Shards, Held, Moving int }
 
 // Stats counts the shards of all services by state.
-func (o *Owner) Stats() Stats {
+func (co *Coordinator) Stats() Stats {
 	var st Stats
-	for _, s := range o.services {
+	for _, s := range co.services {
 		for _, sh := range s.shards {
 			st.Shards++
 			if sh.state == stateHeld {
--- a/internal/keyspace/keyspace_test.go
+++ b/internal/keyspace/keyspace_test.go
@@ -84,7 +84,7 @@
 
 // run executes the plans and calls of o for the time d and stores each record at once.
 // It returns the last record.
-func run(o *Owner, fakes *fakeUpstreams, now *time.Time, d time.Duration) Record {
+func run(o *Coordinator, fakes *fakeUpstreams, now *time.Time, d time.Duration) Record {
 	var last Record
 	for end := now.Add(d); now.Before(end); *now = now.Add(50 * time.Millisecond) {
 		o.Plan(*now)
@@ -93,7 +93,7 @@
 			stored()
 		}
 		for _, c := range o.Calls(*now) {
-			o.Ended(*now, c, fakes.answer(*now, c), "warm")
+			o.CallEnded(*now, c, fakes.answer(*now, c), "warm")
 		}
 	}
 	return last
@@ -109,7 +109,7 @@
 
 // Guards against a lookup that finds the holder only for the first key of a span.
 func TestHolderInsideSpan(t *testing.T) {
-	m := Map{Services: map[fleet.ServiceID][]Held{archive: {
+	m := Map{Services: map[fleet.ServiceID][]HeldSpan{archive: {
 		{Span{0, 9}, "a"}, {Span{10, 10}, "b"}, {Span{11, maxKey}, "c"},
 	}}}
 	for k, want := range map[Key]fleet.UpstreamID{0: "a", 5: "a", 9: "a", 10: "b", 11: "c", 4000: "c", maxKey: "c"} {
@@ -123,12 +123,12 @@
 // upstream after a few neighbouring keys have become busy.
 func TestBusyKeysAreSpread(t *testing.T) {
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 	run(o, fakes, &now, 3*time.Second)
 	for range 80 {
 		for k := range Key(60) {
-			o.Heat(archive).Add(1000 + k)
+			o.LoadCounter(archive).Add(1000 + k)
 		}
 		run(o, fakes, &now, 100*time.Millisecond)
 	}
@@ -146,15 +146,15 @@
 // it. No part of that load could be moved to make the utilisations equal.
 func TestHotKeyGoesToFastUpstream(t *testing.T) {
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	list := usableUpstreams("a", "b", "c")
 	list[0].Capacity, list[1].Capacity, list[2].Capacity = 14, 14, 32
 	list[0].Speed, list[1].Speed, list[2].Speed = 0.7, 0.7, 1.6
 	o.SetUpstreams(now, archive, list)
 	run(o, fakes, &now, 3*time.Second)
 	for range 20 {
-		o.Heat(archive).Add(1000)
-		o.Heat(archive).Add(1000)
+		o.LoadCounter(archive).Add(1000)
+		o.LoadCounter(archive).Add(1000)
 		run(o, fakes, &now, 100*time.Millisecond)
 	}
 	m, _ := o.Map()
@@ -168,7 +168,7 @@
 // record of its own before the former holder's grants have expired.
 func TestMoveSurvivesTwoLeaders(t *testing.T) {
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, fakes, &now, 3*time.Second)
 	// The first leader plans to move all keys to b, stores the record and stops.
@@ -180,7 +180,7 @@
 	}
 	for term := uint64(2); term <= 3; term++ {
 		now = now.Add(500 * time.Millisecond)
-		o = NewOwner(now, term, timing, rec)
+		o = NewCoordinator(now, term, timing, rec)
 		o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 		o.SetUpstreams(now, "other", usableUpstreams("x")) // makes the second leader store a record
 		if next := run(o, fakes, &now, 1500*time.Millisecond); next.Services != nil {
@@ -197,7 +197,7 @@
 // grants have expired, and against keys that no other upstream ever gets.
 func TestSilentHolderLosesKeys(t *testing.T) {
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 	run(o, fakes, &now, 3*time.Second)
 	fakes.silent["a"] = true
@@ -214,7 +214,7 @@
 // again after their release.
 func TestLateRenewalIsRefused(t *testing.T) {
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, fakes, &now, 3*time.Second)
 	var late []Call
@@ -223,10 +223,10 @@
 		for _, c := range o.Calls(now) {
 			if c.Upstream == "a" {
 				late = append(late, c)
-				o.Ended(now, c, NoAnswer, "")
+				o.CallEnded(now, c, NoAnswer, "")
 				continue
 			}
-			o.Ended(now, c, fakes.answer(now, c), "")
+			o.CallEnded(now, c, fakes.answer(now, c), "")
 		}
 	}
 	o.SetUpstreams(now, archive, []Upstream{{ID: "a", Boot: "1", Capacity: 20}, {ID: "b", Boot: "1", Usable: true, Capacity: 20}})
@@ -243,7 +243,7 @@
 // process.
 func TestRestartedHolderIsReplacedAtOnce(t *testing.T) {
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, fakes, &now, 3*time.Second)
 	delete(fakes.holdEnds, "a")
@@ -262,7 +262,7 @@
 // of the restart.
 func TestRestartLearnedAfterGrants(t *testing.T) {
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b"))
 	run(o, fakes, &now, 3*time.Second)
 	delete(fakes.holdEnds, "a")
@@ -281,7 +281,7 @@
 // Guards against a record that changes when it is encoded and decoded, and against
 // invalid records that are accepted.
 func TestRecordRoundTrip(t *testing.T) {
-	rec := Record{NextFence: 7, Services: map[fleet.ServiceID][]RecordPiece{archive: {
+	rec := Record{NextFence: 7, Services: map[fleet.ServiceID][]RecordShard{archive: {
 		{Span: Span{0, 99}, Holder: "a", Boot: "1", Fence: 3},
 		{Span: Span{100, maxKey}, Holder: "b", Boot: "2", Fence: 6, Moving: true},
 	}}}
@@ -307,11 +307,11 @@
 func TestWithAppliesDiff(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	randomMap := func() *Map {
-		m := &Map{Services: map[fleet.ServiceID][]Held{}}
+		m := &Map{Services: map[fleet.ServiceID][]HeldSpan{}}
 		next := 0
 		for next < Keys {
 			to := min(maxKey, next+rng.IntN(20_000))
-			fakes := Held{Span{Key(next), Key(to)}, fleet.UpstreamID([]string{"", "a", "b", "c"}[rng.IntN(4)])}
+			fakes := HeldSpan{Span{Key(next), Key(to)}, fleet.UpstreamID([]string{"", "a", "b", "c"}[rng.IntN(4)])}
 			m.Services[archive] = appendHeld(m.Services[archive], fakes)
 			next = to + 1
 		}
@@ -335,7 +335,7 @@
 		step           = 10 * time.Millisecond
 	)
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	o.SetUpstreams(now, archive, usableUpstreams("a", "b", "c"))
 	run(o, fakes, &now, 3*time.Second)
 	records := 0
@@ -348,7 +348,7 @@
 				stored()
 			}
 			for _, c := range o.Calls(now) {
-				o.Ended(now, c, fakes.answer(now, c), "warm")
+				o.CallEnded(now, c, fakes.answer(now, c), "warm")
 			}
 		}
 	}
--- a/internal/keyspace/plan.go
+++ b/internal/keyspace/plan.go
@@ -46,11 +46,11 @@
 )
 
 // SetUpstreams replaces the candidates for the keys of a service.
-func (o *Owner) SetUpstreams(now time.Time, id fleet.ServiceID, list []Upstream) {
-	s := o.services[id]
+func (co *Coordinator) SetUpstreams(now time.Time, id fleet.ServiceID, list []Upstream) {
+	s := co.services[id]
 	if s == nil {
 		s = &service{id: id, keyLoad: NewLoadCounter()}
-		o.services[id] = s
+		co.services[id] = s
 	}
 	if s.firstSeen.IsZero() && len(list) > 0 {
 		s.firstSeen = now
@@ -70,32 +70,32 @@
 }
 
 // Plan updates the load estimates and decides which shards move to which upstreams.
-func (o *Owner) Plan(now time.Time) {
-	for _, s := range o.services {
+func (co *Coordinator) Plan(now time.Time) {
+	for _, s := range co.services {
 		if !s.lastDecay.IsZero() {
 			s.keyLoad.Decay(now.Sub(s.lastDecay))
 		}
 		s.lastDecay = now
 		s.keyLoad.SetSurging(s.hasSurge())
 		if len(s.shards) == 0 {
-			o.assignInitial(now, s)
+			co.assignInitial(now, s)
 			continue
 		}
 		load := s.load()
-		o.replaceHolders(now, s, load)
+		co.replaceHolders(now, s, load)
 		if balanceByLoad {
-			o.rebalance(now, s, load)
+			co.rebalance(now, s, load)
 		}
 	}
 }
 
 // usable returns the reachable candidates that may be sent requests. It leaves out the
 // cold ones unless all are cold.
-func (o *Owner) usable(now time.Time, s *service) []Upstream {
+func (co *Coordinator) usable(now time.Time, s *service) []Upstream {
 	var warm, cold []Upstream
 	for _, id := range s.sortedIDs {
 		switch u := s.upstreams[id]; {
-		case !u.Usable || o.reachability[id].unreachable(now):
+		case !u.Usable || co.reachability[id].unreachable(now):
 		case u.Cold:
 			cold = append(cold, u)
 		default:
@@ -127,8 +127,8 @@
 
 // assignInitial divides the keys of a service among its candidates in proportion to
 // their capacities.
-func (o *Owner) assignInitial(now time.Time, s *service) {
-	candidates := o.usable(now, s)
+func (co *Coordinator) assignInitial(now time.Time, s *service) {
+	candidates := co.usable(now, s)
 	if len(candidates) == 0 || now.Sub(s.lastJoined) < registrationQuietTime && now.Sub(s.firstSeen) < maxRegistrationWait {
 		return
 	}
@@ -147,16 +147,16 @@
 			continue
 		}
 		s.shards = append(s.shards, &shard{
-			Span: Span{Key(from), Key(to - 1)}, holder: u.ID, boot: u.Boot, fence: o.allocateFence(), state: stateGranting, nextCall: now,
+			Span: Span{Key(from), Key(to - 1)}, holder: u.ID, boot: u.Boot, fence: co.allocateFence(), state: stateGranting, nextCall: now,
 		})
 		from = to
 	}
-	o.recordDirty, o.mapChanged = true, true
+	co.recordDirty, co.mapChanged = true, true
 }
 
-func (o *Owner) allocateFence() fleet.Fence {
-	f := o.nextFence
-	o.nextFence++
+func (co *Coordinator) allocateFence() fleet.Fence {
+	f := co.nextFence
+	co.nextFence++
 	return f
 }
 
@@ -198,19 +198,19 @@
 
 // needsHolder reports whether sh must be assigned to another holder, or again to the
 // same one after a restart or failed grants.
-func (o *Owner) needsHolder(now time.Time, s *service, sh *shard) bool {
+func (co *Coordinator) needsHolder(now time.Time, s *service, sh *shard) bool {
 	u, known := s.upstreams[sh.plannedHolder()]
 	boot := sh.boot
 	if sh.next != nil {
 		boot = sh.next.boot
 	}
-	return !known || !u.Usable || u.Boot != boot || o.reachability[sh.plannedHolder()].unreachable(now) || sh.next == nil && sh.failures >= maxGrantFailures
+	return !known || !u.Usable || u.Boot != boot || co.reachability[sh.plannedHolder()].unreachable(now) || sh.next == nil && sh.failures >= maxGrantFailures
 }
 
 // replaceHolders assigns the shards of upstreams that are leaving or lost to others. It
 // splits a shard with much load so that several upstreams share it.
-func (o *Owner) replaceHolders(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
-	candidates := o.usable(now, s)
+func (co *Coordinator) replaceHolders(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
+	candidates := co.usable(now, s)
 	if len(candidates) == 0 {
 		return
 	}
@@ -223,7 +223,7 @@
 	}
 	for i := 0; i < len(s.shards); i++ {
 		sh := s.shards[i]
-		if sh.callPending || !o.needsHolder(now, s, sh) || sh.next != nil && sh.recorded && sh.state != stateHeld {
+		if sh.callPending || !co.needsHolder(now, s, sh) || sh.next != nil && sh.recorded && sh.state != stateHeld {
 			continue
 		}
 		if sh.next != nil && sh.recorded {
@@ -241,7 +241,7 @@
 		}
 		load[sh.plannedHolder()] -= rate
 		load[u.ID] += rate
-		o.planMove(now, s, sh, u, "holder-lost")
+		co.planMove(now, s, sh, u, "holder-lost")
 	}
 }
 
@@ -268,21 +268,21 @@
 }
 
 // planMove plans the move of sh to u.
-func (o *Owner) planMove(now time.Time, s *service, sh *shard, u Upstream, cause string) {
-	o.moves = append(o.moves, Move{Service: s.id, Span: sh.Span, From: sh.plannedHolder(), To: u.ID, Cause: cause, Rate: s.keyLoad.Rate(sh.Span)})
-	o.recordDirty = true
+func (co *Coordinator) planMove(now time.Time, s *service, sh *shard, u Upstream, cause string) {
+	co.moves = append(co.moves, Move{Service: s.id, Span: sh.Span, From: sh.plannedHolder(), To: u.ID, Cause: cause, Rate: s.keyLoad.Rate(sh.Span)})
+	co.recordDirty = true
 	sh.recorded = false
 	sh.nextCall = now
 	if sh.state == stateGranting && !sh.everGranted && sh.latestHoldEnd.IsZero() && !sh.callPending {
 		// No grant was sent, so that no release is needed.
-		sh.holder, sh.boot, sh.fence, sh.next, sh.failures = u.ID, u.Boot, o.allocateFence(), nil, 0
+		sh.holder, sh.boot, sh.fence, sh.next, sh.failures = u.ID, u.Boot, co.allocateFence(), nil, 0
 		return
 	}
-	sh.next = &transfer{holder: u.ID, boot: u.Boot, raisedFence: o.nextFence}
-	o.nextFence += maxFenceRaises
-	sh.next.fence = o.allocateFence()
+	sh.next = &transfer{holder: u.ID, boot: u.Boot, raisedFence: co.nextFence}
+	co.nextFence += maxFenceRaises
+	sh.next.fence = co.allocateFence()
 	if cur, known := s.upstreams[sh.holder]; known && cur.Boot != sh.boot && sh.state == stateHeld {
-		o.mapChanged = true
+		co.mapChanged = true
 		sh.state = stateWaiting
 	}
 }
@@ -297,9 +297,9 @@
 }
 
 // Moves returns the moves that were decided since the last call.
-func (o *Owner) Moves() []Move {
-	moves := o.moves
-	o.moves = nil
+func (co *Coordinator) Moves() []Move {
+	moves := co.moves
+	co.moves = nil
 	return moves
 }
 
@@ -315,14 +315,14 @@
 }
 
 // rebalance moves load from the most to the least utilised upstreams.
-func (o *Owner) rebalance(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
+func (co *Coordinator) rebalance(now time.Time, s *service, load map[fleet.UpstreamID]float64) {
 	moving := 0
 	for _, sh := range s.shards {
 		if sh.next != nil || sh.state != stateHeld {
 			moving++
 		}
 	}
-	candidates := o.usable(now, s)
+	candidates := co.usable(now, s)
 	maxMoving := max(minConcurrentMoves, len(candidates)/upstreamsPerMove)
 	for ; moving < maxMoving && len(candidates) > 1; moving++ {
 		slices.SortStableFunc(candidates, func(a, b Upstream) int {
@@ -341,7 +341,7 @@
 			if utilisation-load[leastBusy.ID]/leastBusy.plannedCapacity() < minDifference {
 				break
 			}
-			moved = o.moveLoad(now, s, source, leastBusy, load) || o.moveHotKey(now, s, source, candidates, load)
+			moved = co.moveLoad(now, s, source, leastBusy, load) || co.moveHotKey(now, s, source, candidates, load)
 		}
 		if !moved {
 			return
@@ -351,7 +351,7 @@
 
 // moveLoad moves a part of one shard between two upstreams, chosen so that both end up
 // with about the same utilisation. It reports whether it found a suitable part.
-func (o *Owner) moveLoad(now time.Time, s *service, from, to Upstream, load map[fleet.UpstreamID]float64) bool {
+func (co *Coordinator) moveLoad(now time.Time, s *service, from, to Upstream, load map[fleet.UpstreamID]float64) bool {
 	wantedRate := (load[from.ID]/from.plannedCapacity() - load[to.ID]/to.plannedCapacity()) / (1/from.plannedCapacity() + 1/to.plannedCapacity())
 	best, bestRate := -1, 0.0
 	var bestSpan Span
@@ -372,7 +372,7 @@
 	sh := s.splitOut(best, bestSpan)
 	load[from.ID] -= bestRate
 	load[to.ID] += bestRate
-	o.planMove(now, s, sh, to, "load")
+	co.planMove(now, s, sh, to, "load")
 	return true
 }
 
@@ -392,7 +392,7 @@
 // moveHotKey moves the busiest key of an upstream to the candidate whose utilisation is
 // then lowest, if the load of that key alone is too high for moveLoad. Later calls of
 // rebalance move other keys away from the new holder. It reports whether the key moves.
-func (o *Owner) moveHotKey(now time.Time, s *service, from Upstream, candidates []Upstream, load map[fleet.UpstreamID]float64) bool {
+func (co *Coordinator) moveHotKey(now time.Time, s *service, from Upstream, candidates []Upstream, load map[fleet.UpstreamID]float64) bool {
 	index, key, rate := -1, Key(0), 0.0
 	for i, sh := range s.shards {
 		if sh.holder != from.ID || sh.next != nil || sh.state != stateHeld || sh.callPending || !sh.recorded {
@@ -419,7 +419,7 @@
 	}
 	load[from.ID] -= rate
 	load[best.ID] += rate
-	o.planMove(now, s, s.splitOut(index, Span{key, key}), best, "hot-key")
+	co.planMove(now, s, s.splitOut(index, Span{key, key}), best, "hot-key")
 	return true
 }
 
--- a/internal/keyspace/plan_test.go
+++ b/internal/keyspace/plan_test.go
@@ -17,14 +17,14 @@
 		ratePerUpstream = 30 // requests per second for each upstream of the first half, which has a capacity of 20
 	)
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	var ids []fleet.UpstreamID
 	for i := range upstreams {
 		ids = append(ids, fleet.UpstreamID(fmt.Sprintf("u%02d", i)))
 	}
 	o.SetUpstreams(now, archive, usableUpstreams(ids...))
 	run(o, fakes, &now, 3*time.Second)
-	loadCounter := o.Heat(archive)
+	loadCounter := o.LoadCounter(archive)
 	countPerRate := int(1 / loadCounter.slow.ratePerCount())
 	for i := range ratePerUpstream * upstreams / 2 {
 		for range countPerRate {
@@ -47,7 +47,7 @@
 		listEvery = 500 * time.Millisecond
 	)
 	now := start
-	o, fakes := NewOwner(now, 1, timing, Record{}), newFakeUpstreams(t)
+	o, fakes := NewCoordinator(now, 1, timing, Record{}), newFakeUpstreams(t)
 	var ids []fleet.UpstreamID
 	for i := range upstreams {
 		ids = append(ids, fleet.UpstreamID(fmt.Sprintf("u%02d", i)))
--- a/internal/keyspace/record.go
+++ b/internal/keyspace/record.go
@@ -16,12 +16,12 @@
 type Record struct {
 	Instances []fleet.Peer // of the fleet; empty if unknown
 	NextFence fleet.Fence
-	Services  map[fleet.ServiceID][]RecordPiece
+	Services  map[fleet.ServiceID][]RecordShard
 }
 
-// RecordPiece is a shard in a Record. Moving means that an upstream other than Holder
+// RecordShard is a shard in a Record. Moving means that an upstream other than Holder
 // may still hold the span.
-type RecordPiece struct {
+type RecordShard struct {
 	Span
 	Holder fleet.UpstreamID
 	Boot   fleet.BootID
@@ -36,32 +36,32 @@
 const maxOverstatedTime = 500 * time.Millisecond
 
 // markOverstated notes that the stored record lists a hold that has ended.
-func (o *Owner) markOverstated(now time.Time) {
-	if o.overstatedSince.IsZero() {
-		o.overstatedSince = now
+func (co *Coordinator) markOverstated(now time.Time) {
+	if co.overstatedSince.IsZero() {
+		co.overstatedSince = now
 	}
 }
 
 // Save returns the record to store, a function to call once it is stored, and whether
 // there is a record to store.
-func (o *Owner) Save(now time.Time) (Record, func(), bool) {
-	if !o.recordDirty && (o.overstatedSince.IsZero() || now.Sub(o.overstatedSince) < maxOverstatedTime) {
+func (co *Coordinator) Save(now time.Time) (Record, func(), bool) {
+	if !co.recordDirty && (co.overstatedSince.IsZero() || now.Sub(co.overstatedSince) < maxOverstatedTime) {
 		return Record{}, nil, false
 	}
-	o.recordDirty, o.overstatedSince = false, time.Time{}
-	rec := Record{Instances: o.instances, NextFence: o.nextFence, Services: make(map[fleet.ServiceID][]RecordPiece)}
+	co.recordDirty, co.overstatedSince = false, time.Time{}
+	rec := Record{Instances: co.instances, NextFence: co.nextFence, Services: make(map[fleet.ServiceID][]RecordShard)}
 	type savedShard struct {
 		p     *shard
 		next  *transfer
 		fence fleet.Fence
 	}
 	var savedShards []savedShard
-	for id, s := range o.services {
+	for id, s := range co.services {
 		for _, sh := range s.shards {
 			savedShards = append(savedShards, savedShard{sh, sh.next, sh.fence})
-			r := RecordPiece{Span: sh.Span, Holder: sh.holder, Boot: sh.boot, Fence: sh.fence, Moving: !sh.blockedUntil.IsZero()}
+			r := RecordShard{Span: sh.Span, Holder: sh.holder, Boot: sh.boot, Fence: sh.fence, Moving: !sh.blockedUntil.IsZero()}
 			if sh.next != nil {
-				r = RecordPiece{Span: sh.Span, Holder: sh.next.holder, Boot: sh.next.boot, Fence: sh.next.fence, Moving: true}
+				r = RecordShard{Span: sh.Span, Holder: sh.next.holder, Boot: sh.next.boot, Fence: sh.next.fence, Moving: true}
 			}
 			rec.Services[id] = append(rec.Services[id], r)
 		}
@@ -79,11 +79,11 @@
 // Map returns the holders in r as a map with term 0, which is older than the map of
 // any leader.
 func (r Record) Map() *Map {
-	m := &Map{Version: MapVersion{Seq: 1}, Services: make(map[fleet.ServiceID][]Held)}
+	m := &Map{Version: MapVersion{Seq: 1}, Services: make(map[fleet.ServiceID][]HeldSpan)}
 	for id, shards := range r.Services {
-		var spans []Held
+		var spans []HeldSpan
 		for _, p := range shards {
-			span := Held{Span: p.Span}
+			span := HeldSpan{Span: p.Span}
 			if !p.Moving {
 				span.Holder = p.Holder
 			}
@@ -122,27 +122,27 @@
 	return e.Bytes()
 }
 
-func (p RecordPiece) encode(e *jx.Encoder) {
+func (s RecordShard) encode(e *jx.Encoder) {
 	e.ObjStart()
 	e.FieldStart("from")
-	e.UInt64(uint64(p.From))
+	e.UInt64(uint64(s.From))
 	e.FieldStart("to")
-	e.UInt64(uint64(p.To))
+	e.UInt64(uint64(s.To))
 	e.FieldStart("holder")
-	e.Str(string(p.Holder))
+	e.Str(string(s.Holder))
 	e.FieldStart("boot")
-	e.Str(string(p.Boot))
+	e.Str(string(s.Boot))
 	e.FieldStart("fence")
-	e.UInt64(uint64(p.Fence))
+	e.UInt64(uint64(s.Fence))
 	e.FieldStart("moving")
-	e.Bool(p.Moving)
+	e.Bool(s.Moving)
 	e.ObjEnd()
 }
 
 // DecodeRecord parses the output of Encode and checks that the spans of each service
 // cover all keys in order.
 func DecodeRecord(data []byte) (Record, error) {
-	r := Record{Services: make(map[fleet.ServiceID][]RecordPiece)}
+	r := Record{Services: make(map[fleet.ServiceID][]RecordShard)}
 	err := jx.DecodeBytes(data).Obj(func(d *jx.Decoder, field string) error {
 		switch field {
 		case "peers":
@@ -182,36 +182,36 @@
 	return r, nil
 }
 
-func decodeRecordShard(d *jx.Decoder) (RecordPiece, error) {
-	var p RecordPiece
+func decodeRecordShard(d *jx.Decoder) (RecordShard, error) {
+	var shard RecordShard
 	err := d.Obj(func(d *jx.Decoder, field string) error {
 		switch field {
 		case "from":
 			n, err := d.UInt16()
-			p.From = Key(n)
+			shard.From = Key(n)
 			return err
 		case "to":
 			n, err := d.UInt16()
-			p.To = Key(n)
+			shard.To = Key(n)
 			return err
 		case "holder":
 			s, err := d.Str()
-			p.Holder = fleet.UpstreamID(s)
+			shard.Holder = fleet.UpstreamID(s)
 			return err
 		case "boot":
 			s, err := d.Str()
-			p.Boot = fleet.BootID(s)
+			shard.Boot = fleet.BootID(s)
 			return err
 		case "fence":
 			n, err := d.UInt64()
-			p.Fence = fleet.Fence(n)
+			shard.Fence = fleet.Fence(n)
 			return err
 		case "moving":
 			b, err := d.Bool()
-			p.Moving = b
+			shard.Moving = b
 			return err
 		}
 		return d.Skip()
 	})
-	return p, err
+	return shard, err
 }
--- a/internal/limit/holder.go
+++ b/internal/limit/holder.go
@@ -50,8 +50,8 @@
 	minPrefetchDemand = 0.1
 )
 
-// Bounded is a limit that applies to a request.
-type Bounded struct {
+// RequestLimit is a limit that applies to a request.
+type RequestLimit struct {
 	ID    fleet.LimitID
 	Limit fleet.Limit
 }
@@ -63,9 +63,9 @@
 type Admitted struct{}
 
 // Need means that tokens are missing and none was spent. The user makes the calls and
-// reports the end of each with Add or Fail. It calls Admit for the request again when
-// a call for one of the limits in Waits has ended. Calls is empty if calls in flight
-// or those of the next Tick request the tokens.
+// reports the end of each with AddLease or CallFailed. It calls Admit for the request
+// again when a call for one of the limits in Waits has ended. Calls is empty if calls
+// in flight or those of the next Tick request the tokens.
 type Need struct {
 	Waits []fleet.LimitID
 	Calls []Call
@@ -92,7 +92,7 @@
 func NewHolder() *Holder { return &Holder{limits: make(map[fleet.LimitID]*limitState)} }
 
 // Admit spends one token of every limit, or no token at all.
-func (h *Holder) Admit(now time.Time, limits []Bounded) Decision {
+func (h *Holder) Admit(now time.Time, limits []RequestLimit) Decision {
 	missing := false
 	for _, b := range limits {
 		if b.Limit.Unlimited() {
@@ -116,7 +116,7 @@
 	return Admitted{}
 }
 
-func (h *Holder) needOrRefuse(now time.Time, limits []Bounded) Decision {
+func (h *Holder) needOrRefuse(now time.Time, limits []RequestLimit) Decision {
 	var refused Refused
 	for _, b := range limits {
 		if b.Limit.Unlimited() {
@@ -144,8 +144,8 @@
 	return n
 }
 
-// Add reports the home's answer to the call that was sent at the given time.
-func (h *Holder) Add(sent time.Time, id fleet.LimitID, l Lease) {
+// AddLease reports the home's answer to the call that was sent at the given time.
+func (h *Holder) AddLease(sent time.Time, id fleet.LimitID, l Lease) {
 	s := h.state(id)
 	if l.TTL == 0 {
 		s.callFailed(sent)
@@ -169,8 +169,8 @@
 	}
 }
 
-// Fail reports that the call sent at the given time ended without an answer.
-func (h *Holder) Fail(sent time.Time, id fleet.LimitID) { h.state(id).callFailed(sent) }
+// CallFailed reports that the call sent at the given time ended without an answer.
+func (h *Holder) CallFailed(sent time.Time, id fleet.LimitID) { h.state(id).callFailed(sent) }
 
 // Tick returns the calls that prefetch tokens, request tokens for waiting requests
 // again, and close leases. The user must call it every 10 ms.
--- a/internal/limit/home.go
+++ b/internal/limit/home.go
@@ -48,7 +48,8 @@
 
 // Release ends this instance's role as home of the limit and returns the available
 // tokens. If the limit has changed, the user must apply the change before with an
-// empty call to Take, since the bucket refills at the last rate that Take was given.
+// empty call to HandleCall, since the bucket refills at the last rate that HandleCall
+// was given.
 func (h *Home) Release(now time.Time, id fleet.LimitID) fleet.Tokens {
 	b, ok := h.buckets[id]
 	if !ok {
@@ -59,11 +60,11 @@
 	return b.level.whole()
 }
 
-// Take answers a call. The limit l comes from the catalogue of the home. An instance
+// HandleCall answers a call. The limit l comes from the catalogue of the home. An instance
 // must make an empty call for every change of a limit: otherwise, of two changes
 // between two calls, the first one would be missed, and with it a lower rate. For a
-// limit that is not active, Take grants nothing and returns a lease with TTL 0.
-func (h *Home) Take(now time.Time, l fleet.Limit, holder fleet.InstanceID, c Call) Lease {
+// limit that is not active, HandleCall grants nothing and returns a lease with TTL 0.
+func (h *Home) HandleCall(now time.Time, l fleet.Limit, holder fleet.InstanceID, c Call) Lease {
 	b, ok := h.buckets[c.ID]
 	if !ok {
 		return Lease{}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -61,7 +61,7 @@
 func (r *randomRun) admit() {
 	i := rapid.IntRange(0, len(r.holders)-1).Draw(r.t, "holder")
 	for range rapid.SampledFrom([]int{1, 2, 5, 250}).Draw(r.t, "requests") {
-		switch d := r.holders[i].Admit(r.now.Add(r.skew[i]), []Bounded{{ID: id, Limit: r.limit()}}).(type) {
+		switch d := r.holders[i].Admit(r.now.Add(r.skew[i]), []RequestLimit{{ID: id, Limit: r.limit()}}).(type) {
 		case Admitted:
 			r.admissions = append(r.admissions, r.now)
 		case Need:
@@ -93,7 +93,7 @@
 	m := r.messages[i]
 	r.messages = slices.Delete(r.messages, i, i+1)
 	if m.lease != nil {
-		r.holders[m.holder].Add(m.sent, id, *m.lease)
+		r.holders[m.holder].AddLease(m.sent, id, *m.lease)
 		return
 	}
 	read := r.now.Add(-time.Duration(rapid.IntRange(0, 600).Draw(r.t, "pause")) * time.Millisecond)
@@ -103,7 +103,7 @@
 	if end := r.authorityEnds[m.home]; !end.IsZero() && read.After(end) {
 		return
 	}
-	l := r.homes[m.home].Take(read.Add(r.homeSkew(m.home)), r.limit(), instanceName(m.holder), m.call)
+	l := r.homes[m.home].HandleCall(read.Add(r.homeSkew(m.home)), r.limit(), instanceName(m.holder), m.call)
 	m.lease = &l
 	r.messages = append(r.messages, m)
 }
@@ -137,7 +137,7 @@
 // next change or a release at the latest.
 func (r *randomRun) applyLimit() {
 	last := len(r.homes) - 1
-	r.homes[last].Take(r.now.Add(r.homeSkew(last)), r.limit(), "", Call{ID: id})
+	r.homes[last].HandleCall(r.now.Add(r.homeSkew(last)), r.limit(), "", Call{ID: id})
 }
 
 func (r *randomRun) startHome(level fleet.Tokens) {
@@ -146,7 +146,7 @@
 	r.authorityEnds = append(r.authorityEnds, time.Time{})
 	now := r.now.Add(r.homeSkew(len(r.homes) - 1))
 	home.Activate(now, id, level)
-	home.Take(now, r.limit(), "", Call{ID: id})
+	home.HandleCall(now, r.limit(), "", Call{ID: id})
 }
 
 func instanceName(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("i", i)) }
@@ -264,16 +264,16 @@
 	l := fleet.Limit{Rate: 10, Burst: 5}
 	h := NewHome(ttl)
 	h.Activate(epoch, id, 5)
-	old := h.Take(epoch.Add(ttl), l, "a", Call{ID: id, Waiting: 5})
+	old := h.HandleCall(epoch.Add(ttl), l, "a", Call{ID: id, Waiting: 5})
 	later := epoch.Add(3 * ttl) // the lease has expired and the bucket has refilled for one TTL
-	newer := h.Take(later, l, "a", Call{ID: id, Waiting: 3})
+	newer := h.HandleCall(later, l, "a", Call{ID: id, Waiting: 3})
 	got := []fleet.Tokens{old.Granted, newer.Granted}
 	for _, holder := range []fleet.InstanceID{"a", "b"} {
 		for _, closed := range []Closed{{Lease: old.ID, Unused: 5}, {Lease: 0, Unused: 5}} {
-			got = append(got, h.Take(later, l, holder, Call{ID: id, Waiting: 2, Closed: []Closed{closed}}).Granted)
+			got = append(got, h.HandleCall(later, l, holder, Call{ID: id, Waiting: 2, Closed: []Closed{closed}}).Granted)
 		}
 	}
-	got = append(got, h.Take(later, l, "b", Call{ID: id, Waiting: 2, Closed: []Closed{{Lease: newer.ID, Unused: 3}}}).Granted)
+	got = append(got, h.HandleCall(later, l, "b", Call{ID: id, Waiting: 2, Closed: []Closed{{Lease: newer.ID, Unused: 3}}}).Granted)
 	if diff := cmp.Diff([]fleet.Tokens{5, 3, 2, 0, 0, 0, 0}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -286,14 +286,14 @@
 	first := NewHome(ttl)
 	first.Activate(epoch, id, 200)
 	lost := epoch.Add(ttl)
-	held := first.Take(lost, l, "a", Call{ID: id, Waiting: 200})
+	held := first.HandleCall(lost, l, "a", Call{ID: id, Waiting: 200})
 	next := NewHome(ttl)
 	next.Activate(lost, id, 0)
-	got := next.Take(lost.Add(ttl-1), l, "b", Call{ID: id, Waiting: 200})
+	got := next.HandleCall(lost.Add(ttl-1), l, "b", Call{ID: id, Waiting: 200})
 	if held.Granted+got.Granted > l.Burst {
 		t.Errorf("tokens held at the same time: %d + %d, burst %d", held.Granted, got.Granted, l.Burst)
 	}
-	if after := next.Take(lost.Add(ttl), l, "b", Call{ID: id, Waiting: 1, Closed: []Closed{{Lease: got.ID}}}); after.Granted != 1 {
+	if after := next.HandleCall(lost.Add(ttl), l, "b", Call{ID: id, Waiting: 1, Closed: []Closed{{Lease: got.ID}}}); after.Granted != 1 {
 		t.Errorf("lease after the TTL: %+v, want 1 token", after)
 	}
 }
--- a/internal/limit/use_test.go
+++ b/internal/limit/use_test.go
@@ -75,9 +75,9 @@
 	for _, c := range calls {
 		s.calls++
 		s.schedule(time.Millisecond, func() {
-			l := s.home.Take(s.now, s.limit, instanceName(i), c)
+			l := s.home.HandleCall(s.now, s.limit, instanceName(i), c)
 			s.schedule(time.Millisecond, func() {
-				s.holders[i].Add(sent, id, l)
+				s.holders[i].AddLease(sent, id, l)
 				waiters := s.waiters[i]
 				s.waiters[i] = nil
 				for _, arrival := range waiters {
@@ -93,7 +93,7 @@
 		s.refused++
 		return
 	}
-	switch d := s.holders[i].Admit(s.now, []Bounded{{ID: id, Limit: s.limit}}).(type) {
+	switch d := s.holders[i].Admit(s.now, []RequestLimit{{ID: id, Limit: s.limit}}).(type) {
 	case Admitted:
 		s.admitted++
 	case Refused:
@@ -177,12 +177,12 @@
 
 func BenchmarkAdmit(b *testing.B) {
 	h := NewHolder()
-	limits := []Bounded{
+	limits := []RequestLimit{
 		{ID: "account:a", Limit: fleet.Limit{Rate: 1e9, Burst: 1e9}},
 		{ID: "entry:e", Limit: fleet.Limit{Rate: 1e9, Burst: 1e9}},
 	}
 	for _, l := range limits {
-		h.Add(epoch, l.ID, Lease{ID: 1, Granted: 1e12, TTL: ttl})
+		h.AddLease(epoch, l.ID, Lease{ID: 1, Granted: 1e12, TTL: ttl})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -197,13 +197,13 @@
 func TestBothLimitsOrNone(t *testing.T) {
 	h := NewHolder()
 	l := fleet.Limit{Rate: 1, Burst: 5}
-	limits := []Bounded{{ID: "account:a", Limit: l}, {ID: "open"}, {ID: "entry:e", Limit: l}}
-	h.Add(epoch, "account:a", Lease{ID: 1, Granted: 1, TTL: ttl})
+	limits := []RequestLimit{{ID: "account:a", Limit: l}, {ID: "open"}, {ID: "entry:e", Limit: l}}
+	h.AddLease(epoch, "account:a", Lease{ID: 1, Granted: 1, TTL: ttl})
 	n, ok := h.Admit(epoch, limits).(Need)
 	if !ok || len(n.Calls) != 1 || n.Calls[0].ID != "entry:e" || h.Held(epoch, "account:a") != 1 {
 		t.Fatalf("decision %+v, want Need with a call for entry:e; %d tokens of account:a, want 1", n, h.Held(epoch, "account:a"))
 	}
-	h.Add(epoch, "entry:e", Lease{ID: 2, Granted: 1, TTL: ttl})
+	h.AddLease(epoch, "entry:e", Lease{ID: 2, Granted: 1, TTL: ttl})
 	if d, ok := h.Admit(epoch, limits).(Admitted); !ok || h.Held(epoch, "account:a")+h.Held(epoch, "entry:e") != 0 {
 		t.Errorf("decision %+v, want Admitted", d)
 	}
@@ -214,8 +214,8 @@
 // never calling the home again.
 func TestUnreachableHome(t *testing.T) {
 	h := NewHolder()
-	limits := []Bounded{{ID: id, Limit: fleet.Limit{Rate: 1, Burst: 5}}}
-	h.Add(epoch, id, Lease{ID: 1, Granted: 5, TTL: ttl})
+	limits := []RequestLimit{{ID: id, Limit: fleet.Limit{Rate: 1, Burst: 5}}}
+	h.AddLease(epoch, id, Lease{ID: 1, Granted: 5, TTL: ttl})
 	if _, ok := h.Admit(epoch.Add(ttl-1), limits).(Admitted); !ok {
 		t.Error("not admitted within the TTL")
 	}
@@ -224,7 +224,7 @@
 	if !ok || len(n.Calls) != 1 {
 		t.Fatalf("decision after the TTL: %+v, want Need with one call", n)
 	}
-	h.Fail(now, id)
+	h.CallFailed(now, id)
 	if _, ok := h.Admit(now, limits).(Need); !ok {
 		t.Error("refused within homeTimeout, although the home may be handed over")
 	}
--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -62,9 +62,9 @@
 	return true, 0
 }
 
-// CountedElsewhere empties the account's bucket, because a home counts the requests of
+// CountedByHome empties the account's bucket, because a home counts the requests of
 // the account. If the limit is divided again, this instance starts without tokens.
-func (t *Table) CountedElsewhere(now time.Time, id fleet.AccountID, limit fleet.Limit) {
+func (t *Table) CountedByHome(now time.Time, id fleet.AccountID, limit fleet.Limit) {
 	b := t.accounts[id]
 	if b == nil {
 		b = &bucket{}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -224,7 +224,7 @@
 func TestNoBurstAfterHomeCounting(t *testing.T) {
 	limit := fleet.Limit{Rate: 30, Burst: 300}
 	table := New(start.Add(-time.Minute), cfg)
-	table.CountedElsewhere(start, "a", limit)
+	table.CountedByHome(start, "a", limit)
 	admitted := 0
 	for range 100 {
 		if ok, _ := table.Admit(start.Add(100*time.Millisecond), "a", limit, 10); ok {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -142,7 +142,7 @@
 	Key      fleet.RoutingKey
 	Target   string      // without the caller key
 	Header   http.Header // without the caller key and hop-by-hop headers
-	Limits   []limit.Bounded
+	Limits   []limit.RequestLimit
 	Deadline time.Time
 }
 
@@ -222,13 +222,13 @@
 	return account, nil
 }
 
-func (x *Index) requestLimits(t *routeEntry, account fleet.AccountID) []limit.Bounded {
-	var out []limit.Bounded
+func (x *Index) requestLimits(t *routeEntry, account fleet.AccountID) []limit.RequestLimit {
+	var out []limit.RequestLimit
 	if l := x.accountLimits[account]; account != "" && !l.Unlimited() {
-		out = append(out, limit.Bounded{ID: fleet.AccountLimit(account), Limit: l})
+		out = append(out, limit.RequestLimit{ID: fleet.AccountLimit(account), Limit: l})
 	}
 	if l := t.entry.Limit; !l.Unlimited() {
-		out = append(out, limit.Bounded{ID: fleet.EntryLimit(t.entry.ID), Limit: l})
+		out = append(out, limit.RequestLimit{ID: fleet.EntryLimit(t.entry.ID), Limit: l})
 	}
 	return out
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -72,7 +72,7 @@
 	}
 	r, _ := Decide(now, newTestIndex(testKey), Incoming{Target: "/lookup/7", Header: parseHeader("X-Api-Key: " + testKey)})
 	l := fleet.Limit{Rate: 10, Burst: 20}
-	if diff := cmp.Diff([]limit.Bounded{{ID: "account:a", Limit: l}, {ID: "entry:lookup", Limit: l}}, r.Limits); diff != "" {
+	if diff := cmp.Diff([]limit.RequestLimit{{ID: "account:a", Limit: l}, {ID: "entry:lookup", Limit: l}}, r.Limits); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -35,21 +35,21 @@
 
 // Route defines how requests for a host and path prefix are handled.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Parts       []Part // at least one
-	Idempotent  bool
-	MaxAttempts int           // maximum number of upstreams that one request is sent to
-	Timeout     time.Duration // maximum time until the answer
-	Target      time.Duration // target latency
-	Open        bool          // requests need no caller key
+	Name          string
+	Host          string
+	Prefix        string         // begins and ends with a slash
+	TrafficShares []TrafficShare // at least one
+	Idempotent    bool
+	MaxAttempts   int           // maximum number of upstreams that one request is sent to
+	Timeout       time.Duration // maximum time until the answer
+	Target        time.Duration // target latency
+	Public        bool          // requests need no caller key
 }
 
-// Part is the share of a route's traffic that one service gets.
-type Part struct {
+// TrafficShare is the share of a route's traffic that one service gets.
+type TrafficShare struct {
 	Service fleet.ServiceID
-	Weight  int // relative to the other parts of the route
+	Weight  int // relative to the other shares of the route
 }
 
 // Account is a client account. A zero Limit means that there is no limit.
@@ -110,17 +110,17 @@
 // weights.
 func (r *Route) Pick(rng *rand.Rand) fleet.ServiceID {
 	total := 0
-	for _, p := range r.Parts {
+	for _, p := range r.TrafficShares {
 		total += p.Weight
 	}
-	if len(r.Parts) == 1 || total <= 0 {
-		return r.Parts[0].Service
+	if len(r.TrafficShares) == 1 || total <= 0 {
+		return r.TrafficShares[0].Service
 	}
 	n := rng.IntN(total)
-	for _, p := range r.Parts {
+	for _, p := range r.TrafficShares {
 		if n -= p.Weight; n < 0 {
 			return p.Service
 		}
 	}
-	return r.Parts[len(r.Parts)-1].Service
+	return r.TrafficShares[len(r.TrafficShares)-1].Service
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -73,9 +73,9 @@
 // CloseIdle closes the idle request connections to addr.
 func (c *Client) CloseIdle(addr string) { c.poolsFor(addr).requests.CloseIdle() }
 
-// Forget closes all connections to addr and removes their pools. Requests in flight
+// Remove closes all connections to addr and removes their pools. Requests in flight
 // fail as lost.
-func (c *Client) Forget(addr string) {
+func (c *Client) Remove(addr string) {
 	c.mu.Lock()
 	p := c.pools[addr]
 	delete(c.pools, addr)
@@ -191,7 +191,7 @@
 	ctx, cancel := context.WithDeadline(ctx, r.Send.Deadline)
 	defer cancel()
 	p := c.poolsFor(addr).requests
-	if r.Send.Fresh {
+	if r.Send.NewConnection {
 		p.CloseIdle()
 	}
 	res, err := p.Do(ctx, &http1.Request{
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -121,7 +121,7 @@
 	d.run(func(now time.Time) []dispatch.Action { return d.table.Tick(now, now.Add(time.Second)) })
 	d.run(func(now time.Time) []dispatch.Action {
 		return d.table.Assign(now, []dispatch.Duty{{
-			Upstream: "u1", Service: "s", Address: server.Addr(), Fence: 7, Slots: 6, ColdSlots: 2, WarmTime: 400 * time.Millisecond, Fenced: true, Taken: now,
+			Upstream: "u1", Service: "s", Address: server.Addr(), Fence: 7, Slots: 6, ColdSlots: 2, WarmTime: 400 * time.Millisecond, Fenced: true, InForceSince: now,
 			Units: []assignment.Ownership{{Unit: fleet.Unit{Service: "s"}, Owner: "u1", Fence: 11}},
 		}})
 	})
