--- a/cmd/parsleyproxy/main_test.go
+++ b/cmd/parsleyproxy/main_test.go
@@ -82,8 +82,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return operator.Status{
-		Instance: "i1", Zone: "a", Now: now, Authority: now.Add(time.Second), StoreAnswered: now, Catalogue: f.rev, Planner: "i1",
-		Members: []operator.MemberStatus{{ID: "i1", Zone: "a"}, {ID: "i2", Zone: "b", Heard: now.Add(-time.Minute)}},
+		Instance: "i1", Zone: "a", Now: now, AuthorityUntil: now.Add(time.Second), StoreAnswered: now, CatalogueRevision: f.rev, Planner: "i1",
+		Members: []operator.MemberStatus{{ID: "i1", Zone: "a"}, {ID: "i2", Zone: "b", LastAnswer: now.Add(-time.Minute)}},
 		Upstreams: []operator.UpstreamStatus{
 			{ID: "u1", Service: "booking", Zone: "c", Dispatcher: "i1", State: "live", Known: true, Limit: 2, Slots: 6, InFlight: 1},
 		},
@@ -99,7 +99,7 @@
 		x.Owner = &operator.Ownership{Unit: u, Owner: "u1", Fence: 12, Dispatcher: "i1", Previous: []fleet.UpstreamID{"u9"}}
 		x.Moves = []operator.Move{{Unit: u, From: "u9", To: "u1", Fence: 12, Cause: "lost"}}
 	case operator.RequestQuery:
-		x.Refusals = []operator.Refused{{Instance: "i1", Request: q.ID, Reason: fleet.ReasonTimeout}}
+		x.Refusals = []operator.RefusedRequest{{Instance: "i1", Request: q.ID, Reason: fleet.ReasonTimeout}}
 	}
 	return x, nil
 }
--- a/cmd/parsleyproxy/show.go
+++ b/cmd/parsleyproxy/show.go
@@ -67,15 +67,15 @@
 	writeRow(w, "instance", string(st.Instance), "zone "+string(st.Zone))
 	writeRow(w, "authority", formatAuthority(st))
 	writeRow(w, "store answered", formatAge(st.Now, st.StoreAnswered))
-	writeRow(w, "catalogue revision", strconv.FormatUint(uint64(st.Catalogue), 10))
-	writeRow(w, "assignment revision", strconv.FormatUint(uint64(st.Assignment), 10))
+	writeRow(w, "catalogue revision", strconv.FormatUint(uint64(st.CatalogueRevision), 10))
+	writeRow(w, "assignment revision", strconv.FormatUint(uint64(st.AssignmentRevision), 10))
 	writeRow(w, "planner", string(st.Planner))
 	for _, a := range st.Alarms() {
 		writeRow(w, "alarm "+string(a.Name), a.Detail)
 	}
 	writeRow(w, "\nMEMBER", "ZONE", "ADDRESS", "LAST HEARD")
 	for _, m := range st.Members {
-		heard := formatAge(st.Now, m.Heard)
+		heard := formatAge(st.Now, m.LastAnswer)
 		if m.ID == st.Instance {
 			heard = "this instance"
 		}
@@ -101,11 +101,11 @@
 }
 
 func formatAuthority(st operator.Status) string {
-	left := st.Authority.Sub(st.Now)
+	left := st.AuthorityUntil.Sub(st.Now)
 	if left <= 0 {
 		return "none: the instance refuses requests with no-authority"
 	}
-	return "until " + formatTime(st.Authority) + " (" + left.Round(time.Millisecond).String() + ")"
+	return "until " + formatTime(st.AuthorityUntil) + " (" + left.Round(time.Millisecond).String() + ")"
 }
 
 func formatAge(now, at time.Time) string {
@@ -186,7 +186,7 @@
 	}
 }
 
-func printRefusals(w io.Writer, refusals []operator.Refused) {
+func printRefusals(w io.Writer, refusals []operator.RefusedRequest) {
 	if len(refusals) == 0 {
 		writeRow(w, "no refusal is on record")
 		return
--- a/cmd/standin/baseline.go
+++ b/cmd/standin/baseline.go
@@ -23,7 +23,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s, err := baseline.Start(baseline.Config{
 				Name: fleet.InstanceID(c.String("name")), Zone: fleet.ZoneID(c.String("zone")), Listen: c.String("listen"),
-				List: c.String("list"), Catalogue: c.String("catalogue"), Instances: c.Int("instances"),
+				ListAddr: c.String("list"), CatalogueFile: c.String("catalogue"), Instances: c.Int("instances"),
 			})
 			if err != nil {
 				return err
--- a/cmd/standin/fleet.go
+++ b/cmd/standin/fleet.go
@@ -62,10 +62,10 @@
 func printFleet(w io.Writer, f *lab.Fleet) {
 	account := f.Shape.Accounts[0].ID
 	fmt.Fprintf(w, "# The fleet serves. Logs are in %s. Interrupt to stop it.\n", f.Dir)
-	fmt.Fprintf(w, "export PARSLEY_OPERATOR=%s PARSLEY_OPERATOR_TOKEN=%s PARSLEY_BY=you\n", f.Instances[0].Operator, lab.OperatorToken)
+	fmt.Fprintf(w, "export PARSLEY_OPERATOR=%s PARSLEY_OPERATOR_TOKEN=%s PARSLEY_BY=you\n", f.Instances[0].OperatorAddr, lab.OperatorToken)
 	fmt.Fprintf(w, "export CALLER_KEY=%s\n", string(lab.CallerKey(account)))
 	for i, in := range f.Instances {
-		fmt.Fprintf(w, "export INSTANCE_%d=%s # %s in %s\n", i+1, in.Caller, in.ID, in.Zone)
+		fmt.Fprintf(w, "export INSTANCE_%d=%s # %s in %s\n", i+1, in.CallerAddr, in.ID, in.Zone)
 	}
 	for _, u := range f.Upstreams {
 		fmt.Fprintf(w, "# %s in %s: process %d\n", u.ID, u.Zone, f.PID(string(u.ID)))
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -39,8 +39,8 @@
 func runLoad(ctx context.Context, c *cli.Command) error {
 	cfg := load.Config{
 		Duration: c.Duration("duration"), MaxRequests: c.Int("max-requests"), MaxInFlight: c.Int("max-in-flight"),
-		Deadline: c.Duration("deadline"), Delay: c.Duration("delay"), HotChange: c.Duration("hot-change"),
-		Health: c.Duration("health"), Direct: c.Bool("direct"), Seed: c.Uint64("seed"),
+		Deadline: c.Duration("deadline"), NetworkDelay: c.Duration("delay"), HotKeyInterval: c.Duration("hot-change"),
+		ReadinessInterval: c.Duration("health"), Direct: c.Bool("direct"), Seed: c.Uint64("seed"),
 	}
 	if err := errors.Join(
 		parseFlagValues(c, "target", &cfg.Targets, load.ParseTarget),
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -113,10 +113,10 @@
 func pollAnswer(n int) peer.PollAnswer {
 	a := peer.PollAnswer{
 		From: member(0).ID, Boot: member(0).Boot, Phase: peer.Serving, Known: knownRevisions, StoreAge: 130 * time.Millisecond,
-		Heard: make(map[fleet.InstanceID]time.Duration, n), Reports: map[fleet.UpstreamID]assignment.Report{},
+		AnswerAges: make(map[fleet.InstanceID]time.Duration, n), Reports: map[fleet.UpstreamID]assignment.Report{},
 	}
 	for i := 1; i < n; i++ {
-		a.Heard[member(i).ID] = time.Duration(i%150) * time.Millisecond
+		a.AnswerAges[member(i).ID] = time.Duration(i%150) * time.Millisecond
 	}
 	for i := range upstreamsPerNode {
 		r := assignment.Report{Limit: 6, Slots: 6, InFlight: 3, Queued: 1, Load: 727.25}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -366,7 +366,7 @@
 	case !s.now.Before(a.StartBy):
 		reply(dispatch.Skipped)
 		return
-	case !m.control.Holds(m.stamp(s.now), a.Unit, a.Fence):
+	case !m.control.MayRun(m.stamp(s.now), a.Unit, a.Fence):
 		reply(dispatch.Stale)
 		return
 	}
@@ -380,7 +380,7 @@
 				s.done(k, a.ID, a.Attempt, dispatch.Result{Kind: dispatch.Lost})
 			case !s.now.Before(a.Deadline):
 				reply(dispatch.Skipped)
-			case !m.control.Holds(m.stamp(s.now), a.Unit, a.Fence):
+			case !m.control.MayRun(m.stamp(s.now), a.Unit, a.Fence):
 				reply(dispatch.Stale)
 			default:
 				s.recordEffect(a)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -344,7 +344,7 @@
 		From: n.self.ID, Boot: n.self.Boot, Phase: n.phase, Known: known, StoreAge: -1, Details: q.Details,
 	}
 	if q.Details {
-		a.Heard, a.Reports = n.members.answerAges(now), n.dispatch.Reports(now)
+		a.AnswerAges, a.Reports = n.members.answerAges(now), n.dispatch.Reports(now)
 	}
 	if !n.storeAnswered.IsZero() {
 		a.StoreAge = now.Sub(n.storeAnswered)
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -214,7 +214,7 @@
 		if other == t.self || other == id || !t.alive(now, other) {
 			continue
 		}
-		if age, ok := s.detailedAnswer.Heard[id]; ok && now.Sub(s.detailedAnswerAt) <= lostTimeout && age+now.Sub(s.detailedAnswerAt) > lostTimeout {
+		if age, ok := s.detailedAnswer.AnswerAges[id]; ok && now.Sub(s.detailedAnswerAt) <= lostTimeout && age+now.Sub(s.detailedAnswerAt) > lostTimeout {
 			n++
 		}
 	}
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -108,8 +108,8 @@
 	s := n.snapshot()
 	out := operator.Status{
 		Instance: n.self.ID, Zone: n.self.Zone, Boot: n.self.Boot, Now: now,
-		Authority: n.authority.Until(), StoreAnswered: n.storeAnswered,
-		Catalogue: s.known.Catalogue, Assignment: s.known.Assignment,
+		AuthorityUntil: n.authority.Until(), StoreAnswered: n.storeAnswered,
+		CatalogueRevision: s.known.Catalogue, AssignmentRevision: s.known.Assignment,
 		OutOfService: s.catalogue.OutOfService,
 	}
 	for _, m := range s.assignment.Members {
@@ -120,7 +120,7 @@
 		if out.Planner == "" && (m.ID == n.self.ID || n.members.alive(now, m.ID)) {
 			out.Planner = m.ID
 		}
-		out.Members = append(out.Members, operator.MemberStatus{ID: m.ID, Zone: m.Zone, Address: m.Address, Heard: heard})
+		out.Members = append(out.Members, operator.MemberStatus{ID: m.ID, Zone: m.Zone, Address: m.Address, LastAnswer: heard})
 	}
 	reports := n.upstreamReports(now)
 	for _, u := range s.assignment.Upstreams {
@@ -162,7 +162,7 @@
 	slices.Sort(out.Answered)
 	slices.Sort(out.Missing)
 	slices.SortStableFunc(out.Moves, func(a, b operator.Move) int { return b.At.Compare(a.At) })
-	slices.SortStableFunc(out.Refusals, func(a, b operator.Refused) int { return b.At.Compare(a.At) })
+	slices.SortStableFunc(out.Refusals, func(a, b operator.RefusedRequest) int { return b.At.Compare(a.At) })
 	out.Moves = out.Moves[:min(len(out.Moves), maxExplained)]
 	out.Refusals = out.Refusals[:min(len(out.Refusals), maxExplained)]
 	if out.Owner != nil {
@@ -232,7 +232,7 @@
 
 func (n *Instance) explainRefusals(out *operator.Explanation, match func(refusedRequest) bool) {
 	for _, r := range n.refusals.newest(maxExplained, match) {
-		out.Refusals = append(out.Refusals, operator.Refused{
+		out.Refusals = append(out.Refusals, operator.RefusedRequest{
 			At: r.at, Instance: n.self.ID, Request: r.item.id, Account: r.item.account, Entry: r.item.entry,
 			Key: r.item.key, Reason: r.item.refusal.Reason, Detail: r.item.refusal.Detail,
 		})
--- a/internal/instance/tables_test.go
+++ b/internal/instance/tables_test.go
@@ -153,7 +153,7 @@
 }
 
 func pollAnswer(id, boot string, heard map[fleet.InstanceID]time.Duration) peer.PollAnswer {
-	return peer.PollAnswer{From: fleet.InstanceID(id), Boot: fleet.BootID(boot), Phase: peer.Serving, Details: true, Heard: heard}
+	return peer.PollAnswer{From: fleet.InstanceID(id), Boot: fleet.BootID(boot), Phase: peer.Serving, Details: true, AnswerAges: heard}
 }
 
 // TestLostMembers guards against the removal of a member that only this instance
--- a/internal/operator/alarms.go
+++ b/internal/operator/alarms.go
@@ -65,8 +65,8 @@
 	add := func(name AlarmName, format string, args ...any) {
 		alarms = append(alarms, Alarm{name, fmt.Sprintf(format, args...)})
 	}
-	if !s.Authority.After(s.Now) {
-		add(AlarmNoAuthority, "%s may not act since %s ago", s.Instance, formatAge(s.Now, s.Authority))
+	if !s.AuthorityUntil.After(s.Now) {
+		add(AlarmNoAuthority, "%s may not act since %s ago", s.Instance, formatAge(s.Now, s.AuthorityUntil))
 	}
 	s.serviceAlarms(add)
 	s.memberAlarms(add)
@@ -105,21 +105,21 @@
 // memberAlarms reports members that do not answer, the loss of the majority, and an
 // instance that is not a member.
 func (s Status) memberAlarms(add addAlarmFunc) {
-	heard, selfListed := 0, false
+	answered, selfListed := 0, false
 	for _, m := range s.Members {
 		if m.ID == s.Instance {
 			selfListed = true
-			heard++
+			answered++
 			continue
 		}
-		if s.Now.Sub(m.Heard) <= memberSilentAfter {
-			heard++
+		if s.Now.Sub(m.LastAnswer) <= memberSilentAfter {
+			answered++
 			continue
 		}
-		add(AlarmMemberSilent, "%s in zone %s was last heard %s ago", m.ID, m.Zone, formatAge(s.Now, m.Heard))
+		add(AlarmMemberSilent, "%s in zone %s was last heard %s ago", m.ID, m.Zone, formatAge(s.Now, m.LastAnswer))
 	}
-	if 2*heard <= len(s.Members) {
-		add(AlarmMajoritySilent, "%s hears %d of %d members", s.Instance, heard, len(s.Members))
+	if 2*answered <= len(s.Members) {
+		add(AlarmMajoritySilent, "%s hears %d of %d members", s.Instance, answered, len(s.Members))
 	}
 	if !selfListed {
 		add(AlarmNotMember, "%s is not in the member list", s.Instance)
--- a/internal/operator/codec.go
+++ b/internal/operator/codec.go
@@ -182,10 +182,10 @@
 		e.text("zone", string(s.Zone))
 		e.text("boot", string(s.Boot))
 		e.time("now", s.Now)
-		e.time("authority-until", s.Authority)
+		e.time("authority-until", s.AuthorityUntil)
 		e.time("store-answered", s.StoreAnswered)
-		e.uint("catalogue-revision", uint64(s.Catalogue))
-		e.uint("assignment-revision", uint64(s.Assignment))
+		e.uint("catalogue-revision", uint64(s.CatalogueRevision))
+		e.uint("assignment-revision", uint64(s.AssignmentRevision))
 		e.text("planner", string(s.Planner))
 		encodeList(e, "members", s.Members, encodeMember)
 		encodeList(e, "upstreams", s.Upstreams, encodeUpstream)
@@ -206,10 +206,10 @@
 		"zone":                textField(&s.Zone),
 		"boot":                textField(&s.Boot),
 		"now":                 timeField(&s.Now),
-		"authority-until":     timeField(&s.Authority),
+		"authority-until":     timeField(&s.AuthorityUntil),
 		"store-answered":      timeField(&s.StoreAnswered),
-		"catalogue-revision":  uintField(&s.Catalogue),
-		"assignment-revision": uintField(&s.Assignment),
+		"catalogue-revision":  uintField(&s.CatalogueRevision),
+		"assignment-revision": uintField(&s.AssignmentRevision),
 		"planner":             textField(&s.Planner),
 		"members":             listField(&s.Members, decodeMember),
 		"upstreams":           listField(&s.Upstreams, decodeUpstream),
@@ -222,13 +222,13 @@
 		e.text("id", string(m.ID))
 		e.text("zone", string(m.Zone))
 		e.text("address", m.Address)
-		e.time("heard", m.Heard)
+		e.time("heard", m.LastAnswer)
 	})
 }
 
 func decodeMember(d *jx.Decoder, m *MemberStatus) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
-		"id": textField(&m.ID), "zone": textField(&m.Zone), "address": textField(&m.Address), "heard": timeField(&m.Heard),
+		"id": textField(&m.ID), "zone": textField(&m.Zone), "address": textField(&m.Address), "heard": timeField(&m.LastAnswer),
 	})
 }
 
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -61,7 +61,7 @@
 			encodeOwnership(e, *x.Owner)
 		}
 		encodeList(e, "moves", x.Moves, encodeMove)
-		encodeList(e, "refusals", x.Refusals, encodeRefused)
+		encodeList(e, "refusals", x.Refusals, encodeRefusedRequest)
 	})
 }
 
@@ -75,7 +75,7 @@
 			return decodeOwnership(d, x.Owner)
 		},
 		"moves":    listField(&x.Moves, decodeMove),
-		"refusals": listField(&x.Refusals, decodeRefused),
+		"refusals": listField(&x.Refusals, decodeRefusedRequest),
 	})
 }
 
@@ -116,7 +116,7 @@
 	}))
 }
 
-func encodeRefused(e encoder, r Refused) {
+func encodeRefusedRequest(e encoder, r RefusedRequest) {
 	e.object(func(e encoder) {
 		e.time("at", r.At)
 		e.text("instance", string(r.Instance))
@@ -129,7 +129,7 @@
 	})
 }
 
-func decodeRefused(d *jx.Decoder, r *Refused) error {
+func decodeRefusedRequest(d *jx.Decoder, r *RefusedRequest) error {
 	return decodeObject(d, map[string]func(*jx.Decoder) error{
 		"at": timeField(&r.At), "instance": textField(&r.Instance), "request": textField(&r.Request),
 		"account": textField(&r.Account), "entry": textField(&r.Entry), "key": textField(&r.Key),
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -200,7 +200,7 @@
 func checkOperatorName(name string) error {
 	unprintable := func(r rune) bool { return !unicode.IsPrint(r) || r == utf8.RuneError }
 	if name == "" || len(name) > maxOperatorName || strings.ContainsFunc(name, unprintable) {
-		return &apiError{kindBadRequest, "header " + headerOperator + ": want the name of the operator who makes the change, in at most 256 printable bytes"}
+		return &apiError{kindBadRequest, "header " + headerOperator + ": want who makes the change, in at most 256 printable bytes"}
 	}
 	return nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -51,26 +51,26 @@
 
 // Status is the state of the fleet as one instance sees it.
 type Status struct {
-	Instance      fleet.InstanceID // the reporting instance
-	Zone          fleet.ZoneID
-	Boot          fleet.BootID
-	Now           time.Time        // clock of the instance
-	Authority     time.Time        // end of the instance's authority to act; not after Now if it has none
-	StoreAnswered time.Time        // last response of the store; zero if none
-	Catalogue     fleet.Revision   // catalogue revision that the instance has
-	Assignment    fleet.Revision   // assignment revision that the instance has
-	Planner       fleet.InstanceID // empty if no member is alive
-	Members       []MemberStatus
-	Upstreams     []UpstreamStatus
-	OutOfService  []catalogue.Outage
+	Instance           fleet.InstanceID // the reporting instance
+	Zone               fleet.ZoneID
+	Boot               fleet.BootID
+	Now                time.Time        // clock of the instance
+	AuthorityUntil     time.Time        // end of the instance's authority to act; not after Now if it has none
+	StoreAnswered      time.Time        // last response of the store; zero if none
+	CatalogueRevision  fleet.Revision   // catalogue revision that the instance has
+	AssignmentRevision fleet.Revision   // assignment revision that the instance has
+	Planner            fleet.InstanceID // empty if no member is alive
+	Members            []MemberStatus
+	Upstreams          []UpstreamStatus
+	OutOfService       []catalogue.Outage
 }
 
 // MemberStatus is the state of one instance in the member list.
 type MemberStatus struct {
-	ID      fleet.InstanceID
-	Zone    fleet.ZoneID
-	Address string    // "IP:port" for control connections
-	Heard   time.Time // last answer to a poll by the reporting instance; zero if none
+	ID         fleet.InstanceID
+	Zone       fleet.ZoneID
+	Address    string    // "IP:port" for control connections
+	LastAnswer time.Time // last answer to a poll by the reporting instance; zero if none
 }
 
 // UpstreamStatus is the state of one upstream. Limit, Slots, InFlight and Queued
@@ -114,7 +114,7 @@
 	Missing  []fleet.InstanceID // members that did not answer in time
 	Owner    *Ownership         // for a KeyQuery, if the key has an owner
 	Moves    []Move             // newest first
-	Refusals []Refused          // newest first
+	Refusals []RefusedRequest   // newest first
 }
 
 // Ownership describes the owner of a routing key.
@@ -138,8 +138,8 @@
 	Detail string
 }
 
-// Refused is a record of a refused request. Detail never contains a caller key.
-type Refused struct {
+// RefusedRequest is a record of a refused request. Detail never contains a caller key.
+type RefusedRequest struct {
 	At       time.Time
 	Instance fleet.InstanceID // instance that refused the request
 	Request  fleet.RequestID
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -159,7 +159,7 @@
 		{"instance behind", 2, nil, catalogue.Catalogue{}, "ana", &operator.UnavailableError{}, "only up to revision 1"},
 		{"invalid", 1, nil, catalogue.Catalogue{Accounts: []catalogue.Account{account("a b")}}, "ana", &operator.InvalidError{}, `catalogue:4:9: account "a b": id`},
 		{"shards", 1, nil, catalogue.Catalogue{Services: []catalogue.Service{other}}, "ana", &operator.InvalidError{}, "fixed at 4"},
-		{"no name", 1, nil, catalogue.Catalogue{}, "", nil, "want the name of the operator who makes the change"},
+		{"no name", 1, nil, catalogue.Catalogue{}, "", nil, "want who makes the change"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -267,7 +267,7 @@
 				Unit: fleet.Unit{Service: "s", Pin: "hall 7"}, Owner: "u1", Fence: 9, Since: noon, Dispatcher: "i1", Previous: []fleet.UpstreamID{"u2", "u3"},
 			},
 			Moves: []operator.Move{{At: noon, Unit: fleet.Unit{Service: "s", Shard: 255}, From: "u2", To: "u1", Fence: 9, Cause: "lost", Detail: `"x"`}},
-			Refusals: []operator.Refused{{
+			Refusals: []operator.RefusedRequest{{
 				At: noon, Instance: "i1", Request: "r", Account: "acme", Entry: "e", Key: "k", Reason: fleet.ReasonTimeout, Detail: "d",
 			}},
 		},
@@ -301,9 +301,9 @@
 
 func unhealthyStatus() operator.Status {
 	return operator.Status{
-		Instance: "i1", Zone: "a", Boot: "b1", Now: noon, Authority: noon.Add(-time.Second), StoreAnswered: noon.Add(-time.Minute),
-		Catalogue: 4, Assignment: 5, Planner: "i0",
-		Members: []operator.MemberStatus{{ID: "i0", Zone: "b", Address: "10.0.0.1:1", Heard: noon.Add(-time.Second)}, {ID: "i2", Zone: "c"}},
+		Instance: "i1", Zone: "a", Boot: "b1", Now: noon, AuthorityUntil: noon.Add(-time.Second), StoreAnswered: noon.Add(-time.Minute),
+		CatalogueRevision: 4, AssignmentRevision: 5, Planner: "i0",
+		Members: []operator.MemberStatus{{ID: "i0", Zone: "b", Address: "10.0.0.1:1", LastAnswer: noon.Add(-time.Second)}, {ID: "i2", Zone: "c"}},
 		Upstreams: []operator.UpstreamStatus{
 			{ID: "u1", Service: "s", Zone: "a", Dispatcher: "i1", State: "leaving", Known: true, Limit: 1, Slots: 6, InFlight: 1, Queued: 3},
 			{ID: "u2", Service: "s", Zone: "a", State: "lost"},
@@ -329,8 +329,8 @@
 		t.Error(diff)
 	}
 	healthy := operator.Status{
-		Instance: "i1", Now: noon, Authority: noon.Add(time.Second), StoreAnswered: noon.Add(-time.Second),
-		Members:      []operator.MemberStatus{{ID: "i1"}, {ID: "i2", Heard: noon.Add(-500 * time.Millisecond)}},
+		Instance: "i1", Now: noon, AuthorityUntil: noon.Add(time.Second), StoreAnswered: noon.Add(-time.Second),
+		Members:      []operator.MemberStatus{{ID: "i1"}, {ID: "i2", LastAnswer: noon.Add(-500 * time.Millisecond)}},
 		Upstreams:    []operator.UpstreamStatus{{ID: "u1", Service: "s", Dispatcher: "i1", State: "live", Known: true, Limit: 6, Slots: 6}},
 		OutOfService: []catalogue.Outage{{Kind: catalogue.OutageZone, Name: "b", At: noon.Add(-time.Hour)}},
 	}
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -195,7 +195,7 @@
 	encodeBool(e, "details", true)
 	e.FieldStart("heard-ms")
 	e.Obj(func(e *jx.Encoder) {
-		for id, age := range m.Heard {
+		for id, age := range m.AnswerAges {
 			encodeMillis(e, string(id), age)
 		}
 	})
@@ -223,11 +223,11 @@
 	case "store-age-ms":
 		return decodeMillis(d, &m.StoreAge)
 	case "heard-ms":
-		m.Heard = make(map[fleet.InstanceID]time.Duration)
+		m.AnswerAges = make(map[fleet.InstanceID]time.Duration)
 		return decodeObject(d, func(d *jx.Decoder, id string) error {
 			var age time.Duration
 			err := decodeMillis(d, &age)
-			m.Heard[fleet.InstanceID(id)] = age
+			m.AnswerAges[fleet.InstanceID(id)] = age
 			return err
 		})
 	case "reports":
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -26,7 +26,7 @@
 	From  assignment.Member // the sender
 	Phase Phase             // phase of the sender
 	Known authority.Known   // newest record revisions that the sender has
-	// Details asks for Heard and Reports in the answer. Only the planner needs them
+	// Details asks for AnswerAges and Reports in the answer. Only the planner needs them
 	// in every poll; a poll without them costs less than half.
 	Details bool
 	// PollBack asks the planner to poll the sender immediately, because the
@@ -40,13 +40,13 @@
 	Boot    fleet.BootID
 	Phase   Phase
 	Known   authority.Known // newest record revisions that the instance has
-	Details bool            // whether Heard and Reports are present
+	Details bool            // whether AnswerAges and Reports are present
 	// StoreAge is the time since the store last answered this instance. It is
 	// negative if the store never did.
 	StoreAge time.Duration
-	// Heard holds, for each member, the time since it last answered this instance.
-	// It is set only with Details.
-	Heard map[fleet.InstanceID]time.Duration
+	// AnswerAges holds, for each member, the time since it last answered this
+	// instance. It is set only with Details.
+	AnswerAges map[fleet.InstanceID]time.Duration
 	// Reports holds the load reports of the upstreams that this instance is the
 	// dispatcher of. It is set only with Details.
 	Reports map[fleet.UpstreamID]assignment.Report
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 var (
 	wantPoll = PollAnswer{
 		From: "i2", Boot: "b", Phase: Draining, Known: authority.Known{Catalogue: 4, Assignment: 9}, Details: true,
-		StoreAge: 30 * time.Millisecond, Heard: map[fleet.InstanceID]time.Duration{"i3": time.Second},
+		StoreAge: 30 * time.Millisecond, AnswerAges: map[fleet.InstanceID]time.Duration{"i3": time.Second},
 		Reports: map[fleet.UpstreamID]assignment.Report{"u1": {
 			Lost: true, Boot: "ub", Limit: 2, Slots: 6, InFlight: 1, Queued: 3, Load: 1.5, Average: 1.25,
 			Units:   []assignment.UnitLoad{{Unit: fleet.Unit{Service: "s", Shard: 3}, Rate: 0.5}},
--- a/internal/platform/store_test.go
+++ b/internal/platform/store_test.go
@@ -222,7 +222,7 @@
 	if _, err := s.Swap(ctx, key, base, []byte("{}"), "alice", time.Now()); !errors.As(err, &unknown) {
 		t.Errorf("Swap = %v, want an UnknownError", err)
 	}
-	setFault(t, server, store.Fault{Mode: store.ModeDown, For: 300 * time.Millisecond})
+	setFault(t, server, store.Fault{Mode: store.ModeDown, Duration: 300 * time.Millisecond})
 	if rev := swap(t, s, base, "{}", "alice"); rev != base+1 {
 		t.Errorf("revision = %d, want %d", rev, base+1)
 	}
--- a/internal/standin/baseline/baseline.go
+++ b/internal/standin/baseline/baseline.go
@@ -26,12 +26,12 @@
 
 // Config configures an instance.
 type Config struct {
-	Name      fleet.InstanceID
-	Zone      fleet.ZoneID
-	Listen    string // "IP:port"
-	List      string // address of the platform's instance list, "IP:port"
-	Catalogue string // path of the catalogue file
-	Instances int    // number of instances among which limits are divided equally
+	Name          fleet.InstanceID
+	Zone          fleet.ZoneID
+	Listen        string // "IP:port"
+	ListAddr      string // address of the platform's instance list, "IP:port"
+	CatalogueFile string // path of the catalogue file
+	Instances     int    // number of instances among which limits are divided equally
 }
 
 const (
@@ -81,7 +81,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
-		cfg: cfg, client: client, list: platform.NewList(client, cfg.List), stop: stop, done: make(chan struct{}),
+		cfg: cfg, client: client, list: platform.NewList(client, cfg.ListAddr), stop: stop, done: make(chan struct{}),
 		pools: make(map[string]*http1.Pool),
 	}
 	s.snapshot.Store(&snapshot{})
@@ -130,18 +130,18 @@
 
 // reloadCatalogue reads the catalogue file if its modification time has changed.
 func (s *Server) reloadCatalogue() error {
-	info, err := os.Stat(s.cfg.Catalogue)
+	info, err := os.Stat(s.cfg.CatalogueFile)
 	if err != nil {
 		return errors.Wrap(err, "catalogue")
 	}
 	if info.ModTime().Equal(s.catalogueModified) {
 		return nil
 	}
-	data, err := os.ReadFile(s.cfg.Catalogue)
+	data, err := os.ReadFile(s.cfg.CatalogueFile)
 	if err != nil {
 		return errors.Wrap(err, "catalogue")
 	}
-	c, err := catalogue.Parse(s.cfg.Catalogue, data)
+	c, err := catalogue.Parse(s.cfg.CatalogueFile, data)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/baseline/serve.go
+++ b/internal/standin/baseline/serve.go
@@ -142,14 +142,14 @@
 // attempt sends a request once to the upstream that owns its routing key.
 func (s *Server) attempt(ctx context.Context, req admittedRequest) (*http1.Response, *fleet.Refusal) {
 	snap := s.snapshot.Load() // loaded for each attempt, since a retry may find a newer list
-	owner := load.Owner(snap.upstreams, req.entry.Service, req.key)
+	owner := load.StaticOwner(snap.upstreams, req.entry.Service, req.key)
 	if owner.Addr == "" {
 		return nil, &fleet.Refusal{Reason: fleet.ReasonNoOwner}
 	}
 	id := string(s.cfg.Name) + "-" + strconv.FormatInt(s.nextID.Add(1), 36)
 	request := *req.request
 	request.Header = req.request.Header.Clone()
-	load.SetUpstreamHeaders(request.Header, time.Now(), load.Outgoing{ID: id, Account: req.account, Key: req.key, Deadline: req.deadline})
+	load.SetUpstreamHeaders(request.Header, time.Now(), load.UpstreamRequest{ID: id, Account: req.account, Key: req.key, Deadline: req.deadline})
 	res, err := snap.pools[owner.Addr].Do(ctx, &request)
 	var notSent *http1.NotSentError
 	switch {
--- a/internal/standin/demo/demo.go
+++ b/internal/standin/demo/demo.go
@@ -144,14 +144,14 @@
 func (d *demo) trafficFor(kind lab.Kind) (out []lab.Traffic) {
 	capacity := d.Shape.Capacity()
 	if kind != lab.Direct {
-		out = append(out, lab.Traffic{Name: warmUpPhase, Rate: warmUpLoadShare * capacity, Duration: warmUpDuration, Steady: true})
+		out = append(out, lab.Traffic{Name: warmUpPhase, Rate: warmUpLoadShare * capacity, Duration: warmUpDuration, NominalRates: true})
 	}
 	if kind != lab.Baseline {
-		out = append(out, lab.Traffic{Name: halfLoadPhase, Rate: halfLoadShare * capacity, Duration: halfLoadDuration, Steady: true})
+		out = append(out, lab.Traffic{Name: halfLoadPhase, Rate: halfLoadShare * capacity, Duration: halfLoadDuration, NominalRates: true})
 	}
 	if kind != lab.Direct {
 		out = append(out, lab.Traffic{
-			Name: mainPhase, Rate: d.Rate, Duration: d.Duration, HotChange: time.Duration(hotChangeShare * float64(d.Duration)),
+			Name: mainPhase, Rate: d.Rate, Duration: d.Duration, HotKeyInterval: time.Duration(hotChangeShare * float64(d.Duration)),
 		})
 	}
 	return out
--- a/internal/standin/front/store.go
+++ b/internal/standin/front/store.go
@@ -54,11 +54,11 @@
 
 // Fault describes the fault that is injected into one call. The zero value injects none.
 type Fault struct {
-	Status int           // HTTP status answered without executing the call; 0 executes it
-	Delay  time.Duration // wait before the call is executed
-	Lose   bool          // the call is executed, but the connection is closed without a response
-	Silent bool          // the call is neither executed nor answered
-	Late   time.Duration // the connection is closed at once, and the call is executed after this time
+	Status       int           // HTTP status answered without executing the call; 0 executes it
+	Delay        time.Duration // wait before the call is executed
+	DropResponse bool          // the call is executed, but the connection is closed without a response
+	NoResponse   bool          // the call is neither executed nor answered
+	ExecuteAfter time.Duration // the connection is closed at once, and the call is executed after this time
 }
 
 // StartStore starts an empty store that listens on addr, "IP:port". Port 0 picks a
@@ -102,9 +102,9 @@
 	s.leasesFrozen = frozen
 }
 
-// Calls returns how many times a call was made. A call is its name and, separated by
+// CallCount returns how many times a call was made. A call is its name and, separated by
 // a space, its prefix if it has one: "kv-key" or "kv-watch op/".
-func (s *Store) Calls(call string) int {
+func (s *Store) CallCount(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callCounts[call]
@@ -117,9 +117,9 @@
 	s.put(key, item{value: value})
 }
 
-// PutFor writes a key with a lease, as upstreams do: the key is removed after ttl unless
+// PutWithTTL writes a key with a lease, as upstreams do: the key is removed after ttl unless
 // it is written again before.
-func (s *Store) PutFor(key, value string, ttl time.Duration) {
+func (s *Store) PutWithTTL(key, value string, ttl time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := s.items[key].lease
@@ -157,9 +157,9 @@
 	s.notifyWatchers()
 }
 
-// Forget drops the event history up to the current revision, so that watches from
+// DropHistory drops the event history up to the current revision, so that watches from
 // earlier revisions fail with 410 Gone.
-func (s *Store) Forget() {
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.droppedRev = s.rev
@@ -225,11 +225,11 @@
 	s.mu.Unlock()
 	txn := decodeTxn(r)
 	switch {
-	case f.Silent:
+	case f.NoResponse:
 		<-r.Context().Done()
 		return
-	case f.Late > 0:
-		time.AfterFunc(f.Late, func() { s.execute(call, r, txn) })
+	case f.ExecuteAfter > 0:
+		time.AfterFunc(f.ExecuteAfter, func() { s.execute(call, r, txn) })
 		panic(http.ErrAbortHandler)
 	case f.Status != 0:
 		w.WriteHeader(f.Status)
@@ -240,7 +240,7 @@
 	if call == "kv-watch" && status == http.StatusOK {
 		status, body = s.awaitEvents(r, status, body)
 	}
-	if f.Lose {
+	if f.DropResponse {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
--- a/internal/standin/front/upstream.go
+++ b/internal/standin/front/upstream.go
@@ -16,12 +16,12 @@
 	ID, Service, Zone string
 	Sharded           bool          // executes requests only for keys that it was granted
 	Slots             int           // requests executed at a time; 0 means 6
-	Work              time.Duration // service time of a request
+	ServiceTime       time.Duration // service time of a request
 	Addr              string        // "IP:port"; empty means a free port of 127.0.0.1
-	// Began is called for every request when its execution starts.
-	Began func(u *Upstream, r *http.Request)
-	// Answer, if not nil, handles requests in place of the default handler.
-	Answer func(w http.ResponseWriter, r *http.Request)
+	// OnStart is called for every request when its execution starts.
+	OnStart func(u *Upstream, r *http.Request)
+	// Handler, if not nil, handles requests in place of the default handler.
+	Handler func(w http.ResponseWriter, r *http.Request)
 }
 
 // Upstream is a double of an upstream server of the platform.
@@ -91,11 +91,11 @@
 	_ = u.server.Close()
 }
 
-// SetAnswer sets the handler of later requests; nil restores the default handler.
-func (u *Upstream) SetAnswer(f func(w http.ResponseWriter, r *http.Request)) {
+// SetHandler sets the handler of later requests; nil restores the default handler.
+func (u *Upstream) SetHandler(f func(w http.ResponseWriter, r *http.Request)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.cfg.Answer = f
+	u.cfg.Handler = f
 }
 
 // Addr returns the address that the upstream listens on, "IP:port".
@@ -159,7 +159,7 @@
 	u.mu.Lock()
 	u.requests = append(u.requests, r)
 	holds := !u.cfg.Sharded || keyErr == nil && u.holdsKey(time.Now(), key)
-	answer, slots := u.cfg.Answer, u.slots
+	answer, slots := u.cfg.Handler, u.slots
 	u.mu.Unlock()
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	if r.Header.Get("Expect-Instance") != u.cfg.ID || !holds {
@@ -185,13 +185,13 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if u.cfg.Began != nil {
-		u.cfg.Began(u, r)
+	if u.cfg.OnStart != nil {
+		u.cfg.OnStart(u, r)
 	}
 	u.addTo(&u.running, 1)
 	defer u.addTo(&u.running, -1)
 	select {
-	case <-time.After(u.cfg.Work):
+	case <-time.After(u.cfg.ServiceTime):
 	case <-r.Context().Done(): // the router closed the connection
 		return
 	}
--- a/internal/standin/lab/fleet.go
+++ b/internal/standin/lab/fleet.go
@@ -73,12 +73,12 @@
 
 // Instance is a process of the router or the baseline, with its listen addresses.
 type Instance struct {
-	ID          fleet.InstanceID
-	Zone        fleet.ZoneID
-	Caller      string // listen address for requests from callers
-	PeerAddr    string
-	ForwardAddr string
-	Operator    string
+	ID           fleet.InstanceID
+	Zone         fleet.ZoneID
+	CallerAddr   string // listen address for requests from callers
+	PeerAddr     string
+	ForwardAddr  string
+	OperatorAddr string
 }
 
 // Upstream is an upstream process.
@@ -473,10 +473,10 @@
 	return out
 }
 
-// Operator returns a client for the operator API of an instance. The caller must
+// OperatorClient returns a client for the operator API of an instance. The caller must
 // close it.
-func (f *Fleet) Operator(i Instance) *operator.Client {
-	return operator.NewClient(f.client, i.Operator, OperatorToken)
+func (f *Fleet) OperatorClient(i Instance) *operator.Client {
+	return operator.NewClient(f.client, i.OperatorAddr, OperatorToken)
 }
 
 // Targets returns the addresses to which callers send their requests: those of the
@@ -489,7 +489,7 @@
 		return out
 	}
 	for _, i := range f.Instances {
-		out = append(out, load.Target{Name: string(i.ID), Addr: i.Caller})
+		out = append(out, load.Target{Name: string(i.ID), Addr: i.CallerAddr})
 	}
 	return out
 }
--- a/internal/standin/lab/instances.go
+++ b/internal/standin/lab/instances.go
@@ -38,7 +38,7 @@
 	for n := range f.Shape.Instances {
 		listenAddrs := allAddrs[listeners*n:]
 		f.Instances = append(f.Instances, Instance{
-			ID: InstanceID(n + 1), Zone: f.Shape.Zone(n), Caller: listenAddrs[0], PeerAddr: listenAddrs[1], ForwardAddr: listenAddrs[2], Operator: listenAddrs[3],
+			ID: InstanceID(n + 1), Zone: f.Shape.Zone(n), CallerAddr: listenAddrs[0], PeerAddr: listenAddrs[1], ForwardAddr: listenAddrs[2], OperatorAddr: listenAddrs[3],
 		})
 	}
 	if f.network != nil {
@@ -97,10 +97,10 @@
 	for _, s := range append(advertised, [][2]string{
 		{"instance", string(i.ID)},
 		{"zone", string(i.Zone)},
-		{"caller-listen", i.Caller},
+		{"caller-listen", i.CallerAddr},
 		{"peer-listen", i.PeerAddr},
 		{"forward-listen", i.ForwardAddr},
-		{"operator-listen", i.Operator},
+		{"operator-listen", i.OperatorAddr},
 		{"store", store},
 		{"list", list},
 		{"seeds", strings.Join(seeds, ",")},
@@ -112,7 +112,7 @@
 
 func (f *Fleet) baselineSpec(i Instance) processSpec {
 	return processSpec{name: string(i.ID), path: f.Binaries.Standin, args: []string{
-		"baseline", "--name", string(i.ID), "--zone", string(i.Zone), "--listen", i.Caller, "--list", f.StoreAddr,
+		"baseline", "--name", string(i.ID), "--zone", string(i.Zone), "--listen", i.CallerAddr, "--list", f.StoreAddr,
 		"--catalogue", f.catalogueFile(), "--instances", strconv.Itoa(f.Shape.Instances),
 	}}
 }
@@ -225,7 +225,7 @@
 	var at time.Time
 	attempts := 0
 	err := pollUntil(ctx, readyTimeout, "the catalogue change is in force", func(ctx context.Context) error {
-		c := f.Operator(f.Instances[attempts%len(f.Instances)])
+		c := f.OperatorClient(f.Instances[attempts%len(f.Instances)])
 		defer c.Close()
 		attempts++
 		cat, base, err := c.Catalogue(ctx)
@@ -315,7 +315,7 @@
 				return err
 			}
 		}
-		pool := f.client.NewPool(i.Caller, http1.PoolConfig{})
+		pool := f.client.NewPool(i.CallerAddr, http1.PoolConfig{})
 		err := pollUntil(ctx, readyTimeout, string(i.ID)+" is ready", func(ctx context.Context) error {
 			if f.Process(string(i.ID)).exited() {
 				return errors.Errorf("%s has exited; see its log", i.ID)
@@ -339,7 +339,7 @@
 // checkMembership returns an error if an instance does not know all instances and
 // upstreams yet, or if an upstream is not live or has no dispatcher.
 func (f *Fleet) checkMembership(ctx context.Context, i Instance) error {
-	c := f.Operator(i)
+	c := f.OperatorClient(i)
 	defer c.Close()
 	s, err := c.Status(ctx)
 	if err != nil {
--- a/internal/standin/lab/shape.go
+++ b/internal/standin/lab/shape.go
@@ -38,10 +38,10 @@
 
 // Account is a client account and the load that it sends.
 type Account struct {
-	ID     fleet.AccountID
-	Share  float64 // of the load, relative to the shares of the other accounts
-	Times  float64 // ratio of the rate that the account sends to its nominal rate; 0 means 1
-	Sticky float64 // fraction of its requests, from 0 to 1, that go to the first instance
+	ID          fleet.AccountID
+	Share       float64 // of the load, relative to the shares of the other accounts
+	LoadFactor  float64 // ratio of the rate that the account sends to its nominal rate; 0 means 1
+	StickyShare float64 // fraction of its requests, from 0 to 1, that go to the first instance
 }
 
 const (
@@ -75,8 +75,8 @@
 	for i, share := range []float64{30, 25, 18, 6, 6, 5, 5, 5} {
 		out = append(out, Account{ID: fleet.AccountID("account-" + strconv.Itoa(i+1)), Share: share})
 	}
-	out[len(out)-2].Sticky = 0.7
-	out[len(out)-1].Times = 3 * limitHeadroom
+	out[len(out)-2].StickyShare = 0.7
+	out[len(out)-1].LoadFactor = 3 * limitHeadroom
 	return out
 }
 
--- a/internal/standin/lab/traffic.go
+++ b/internal/standin/lab/traffic.go
@@ -16,11 +16,11 @@
 
 // Traffic configures a phase of load.
 type Traffic struct {
-	Name      string  // name of the phase's directory within the fleet's directory
-	Rate      float64 // nominal total of all accounts, in requests/s
-	Duration  time.Duration
-	HotChange time.Duration // interval at which the load generator changes the hot keys
-	Steady    bool          // every account sends exactly its nominal rate
+	Name           string  // name of the phase's directory within the fleet's directory
+	Rate           float64 // nominal total of all accounts, in requests/s
+	Duration       time.Duration
+	HotKeyInterval time.Duration // interval at which the load generator changes the hot keys
+	NominalRates   bool          // every account sends exactly its nominal rate
 }
 
 // Phase is a started phase of load with its load generator's process.
@@ -42,7 +42,7 @@
 	args := []string{
 		"load", "--duration", t.Duration.String(), "--seed", strconv.FormatUint(f.Seed, 10),
 		"--delay", f.Shape.CallerDelay.String(), "--history", filepath.Join(dir, "load.jsonl"),
-		"--hot-change", t.HotChange.String(), "--deadline", "4s",
+		"--hot-change", t.HotKeyInterval.String(), "--deadline", "4s",
 	}
 	if f.Kind == Direct {
 		args = append(args, "--direct", "--health", "0s")
@@ -52,11 +52,11 @@
 	}
 	for _, a := range f.Shape.Accounts {
 		account := load.Account{ID: a.ID, Key: CallerKey(a.ID), Rate: f.Shape.Rate(a, t.Rate)}
-		if !t.Steady {
-			account.Times = a.Times
+		if !t.NominalRates {
+			account.LoadFactor = a.LoadFactor
 		}
-		if a.Sticky > 0 && f.Kind != Direct {
-			account.Target, account.Share = string(f.Instances[0].ID), a.Sticky
+		if a.StickyShare > 0 && f.Kind != Direct {
+			account.Target, account.TargetShare = string(f.Instances[0].ID), a.StickyShare
 		}
 		args = append(args, "--account", account.Format())
 	}
--- a/internal/standin/load/health.go
+++ b/internal/standin/load/health.go
@@ -33,7 +33,7 @@
 }
 
 func (h *healthChecker) run(ctx context.Context, g *Generator) {
-	tick := time.NewTicker(g.cfg.Health)
+	tick := time.NewTicker(g.cfg.ReadinessInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -33,16 +33,16 @@
 	Accounts []Account
 	Entries  []Entry
 
-	Duration    time.Duration
-	MaxRequests int           // total over all accounts; 0 means no limit
-	MaxInFlight int           // arrivals above this limit are not sent and are recorded as not-run; 0 means 4096
-	Deadline    time.Duration // time allowed per request, sent in Parsley-Deadline-Ms; 0 means 2 s
-	Delay       time.Duration // simulated network delay before a request is sent
-	HotChange   time.Duration // interval at which the most requested keys change; 0 means never
-	Health      time.Duration // interval of readiness checks; 0 disables them, so that every target counts as ready
-	Direct      bool          // targets are upstreams that do not check fencing tokens
-	Seed        uint64
-	History     io.Writer // receives one JSON line per request; nil means no history
+	Duration          time.Duration
+	MaxRequests       int           // total over all accounts; 0 means no limit
+	MaxInFlight       int           // arrivals above this limit are not sent and are recorded as not-run; 0 means 4096
+	Deadline          time.Duration // time allowed per request, sent in Parsley-Deadline-Ms; 0 means 2 s
+	NetworkDelay      time.Duration // simulated network delay before a request is sent
+	HotKeyInterval    time.Duration // interval at which the most requested keys change; 0 means never
+	ReadinessInterval time.Duration // interval of readiness checks; 0 disables them, so that every target counts as ready
+	Direct            bool          // targets are upstreams that do not check fencing tokens
+	Seed              uint64
+	History           io.Writer // receives one JSON line per request; nil means no history
 }
 
 // Target is an instance, or an upstream if Config.Direct is set.
@@ -54,12 +54,12 @@
 
 // Account is a client account that sends requests.
 type Account struct {
-	ID     fleet.AccountID
-	Key    fleet.CallerKey
-	Rate   float64 // requests/s
-	Times  float64 // multiplier of Rate; 0 means 1
-	Target string  // name of the preferred target; empty means no preference
-	Share  float64 // fraction from 0 to 1 of the requests that go to Target; the others go to a random ready target
+	ID          fleet.AccountID
+	Key         fleet.CallerKey
+	Rate        float64 // requests/s
+	LoadFactor  float64 // multiplier of Rate; 0 means 1
+	Target      string  // name of the preferred target; empty means no preference
+	TargetShare float64 // fraction from 0 to 1 of the requests that go to Target; the others go to a random ready target
 }
 
 // Entry is a catalogue entry that requests use.
@@ -141,7 +141,7 @@
 		return errors.Errorf("load duration is %s, want more than 0", c.Duration)
 	}
 	for _, a := range c.Accounts {
-		if a.Rate <= 0 || a.Times < 0 || a.Share < 0 || a.Share > 1 {
+		if a.Rate <= 0 || a.LoadFactor < 0 || a.TargetShare < 0 || a.TargetShare > 1 {
 			return errors.Errorf("load account %q: want rate > 0, times >= 0 and 0 <= share <= 1", a.ID)
 		}
 	}
@@ -165,7 +165,7 @@
 	defer stopArrivals()
 	start := time.Now()
 	var sources, checks sync.WaitGroup
-	if g.cfg.Health > 0 {
+	if g.cfg.ReadinessInterval > 0 {
 		g.health.checkAll(arrivalsCtx, g)
 		checks.Go(func() { g.health.run(arrivalsCtx, g) })
 	}
@@ -189,8 +189,8 @@
 	rng := rand.New(rand.NewPCG(g.cfg.Seed, uint64(index)+1))
 	picker := newPicker(rng, g.cfg.Entries, g.totalWeight)
 	rate := a.Rate
-	if a.Times > 0 {
-		rate *= a.Times
+	if a.LoadFactor > 0 {
+		rate *= a.LoadFactor
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -218,18 +218,18 @@
 
 // hotKeyEpoch returns how many times the hot keys have changed.
 func (g *Generator) hotKeyEpoch(elapsed time.Duration) int {
-	if g.cfg.HotChange <= 0 {
+	if g.cfg.HotKeyInterval <= 0 {
 		return 0
 	}
-	return int(elapsed / g.cfg.HotChange)
+	return int(elapsed / g.cfg.HotKeyInterval)
 }
 
 // pickTarget returns the target for a request.
 func (g *Generator) pickTarget(rng *rand.Rand, r request) Target {
 	if g.cfg.Direct {
-		return Owner(g.cfg.Targets, g.cfg.Entries[r.entryIndex].Service, r.key)
+		return StaticOwner(g.cfg.Targets, g.cfg.Entries[r.entryIndex].Service, r.key)
 	}
-	if r.account.Target != "" && rng.Float64() < r.account.Share {
+	if r.account.Target != "" && rng.Float64() < r.account.TargetShare {
 		for _, t := range g.cfg.Targets {
 			if t.Name == r.account.Target {
 				return t
@@ -249,8 +249,8 @@
 	}
 	g.pending.Go(func() {
 		defer g.inFlight.Add(-1)
-		if g.cfg.Delay > 0 {
-			time.Sleep(time.Until(r.arrival.Add(g.cfg.Delay)))
+		if g.cfg.NetworkDelay > 0 {
+			time.Sleep(time.Until(r.arrival.Add(g.cfg.NetworkDelay)))
 		}
 		g.recordResult(r, g.send(r))
 	})
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -139,7 +139,7 @@
 	})
 	var history bytes.Buffer
 	cfg := testConfig(target)
-	cfg.History, cfg.Deadline, cfg.Delay = &history, 3*time.Second, 2*time.Millisecond
+	cfg.History, cfg.Deadline, cfg.NetworkDelay = &history, 3*time.Second, 2*time.Millisecond
 	runLoad(t, cfg)
 	if lines := strings.Count(history.String(), "\n"); lines != cfg.MaxRequests || len(got) != cfg.MaxRequests {
 		t.Fatalf("history has %d lines and target got %d ids, want %d of each", lines, len(got), cfg.MaxRequests)
@@ -177,8 +177,8 @@
 		return target
 	}
 	cfg := testConfig(serve("a", http.StatusOK), serve("b", http.StatusOK), serve("out", http.StatusServiceUnavailable))
-	cfg.Health, cfg.MaxRequests = 20*time.Millisecond, 400
-	cfg.Accounts[0].Target, cfg.Accounts[0].Share = "b", 0.8
+	cfg.ReadinessInterval, cfg.MaxRequests = 20*time.Millisecond, 400
+	cfg.Accounts[0].Target, cfg.Accounts[0].TargetShare = "b", 0.8
 	runLoad(t, cfg)
 	if counts["out"] != 0 || counts["a"] == 0 || counts["b"] < 3*counts["a"] {
 		t.Errorf("requests by target are %v, want none to out and most to b", counts)
@@ -190,12 +190,12 @@
 func TestArrivals(t *testing.T) {
 	cfg := testConfig(Target{Name: "none", Addr: "127.0.0.1:1"})
 	cfg.MaxRequests, cfg.Duration = 0, 500*time.Millisecond
-	cfg.Accounts = append(cfg.Accounts, Account{ID: "large", Rate: 200, Times: 3})
+	cfg.Accounts = append(cfg.Accounts, Account{ID: "large", Rate: 200, LoadFactor: 3})
 	s := runLoad(t, cfg)
 	if s.Requests < 600 || s.Requests > 1000 {
 		t.Errorf("%d requests in 500 ms at 1,600 requests/s, want 600 to 1,000", s.Requests)
 	}
-	if g := (&Generator{cfg: Config{HotChange: time.Second}}); g.hotKeyEpoch(2500*time.Millisecond) != 2 {
+	if g := (&Generator{cfg: Config{HotKeyInterval: time.Second}}); g.hotKeyEpoch(2500*time.Millisecond) != 2 {
 		t.Error("hot keys did not change twice within 2.5 s at an interval of 1 s")
 	}
 	p := newPicker(rand.New(rand.NewPCG(1, 1)), []Entry{{Keys: 100, Skew: 3}}, 1)
@@ -222,7 +222,7 @@
 // and that unknown fields are rejected.
 func TestParse(t *testing.T) {
 	target := Target{Name: "u", Addr: "127.0.0.1:1", Service: "lookup"}
-	account := Account{ID: "a", Key: "k", Rate: 1.5, Times: 3, Target: "u", Share: 0.5}
+	account := Account{ID: "a", Key: "k", Rate: 1.5, LoadFactor: 3, Target: "u", TargetShare: 0.5}
 	entry := Entry{ID: "e", Service: "s", Prefix: "/s/", Class: catalogue.NonIdempotent, Weight: 2, Keys: 5, Skew: 1.2}
 	gotTarget, errTarget := ParseTarget(target.Format())
 	gotAccount, errAccount := ParseAccount(account.Format())
--- a/internal/standin/load/parse.go
+++ b/internal/standin/load/parse.go
@@ -48,8 +48,8 @@
 // optional fields "times=3" and "target=i1;share=0.5".
 func ParseAccount(s string) (a Account, err error) {
 	return a, parseFields(s, map[string]func(string) error{
-		"id": stringSetter(&a.ID), "key": stringSetter(&a.Key), "rate": floatSetter(&a.Rate), "times": floatSetter(&a.Times),
-		"target": stringSetter(&a.Target), "share": floatSetter(&a.Share),
+		"id": stringSetter(&a.ID), "key": stringSetter(&a.Key), "rate": floatSetter(&a.Rate), "times": floatSetter(&a.LoadFactor),
+		"target": stringSetter(&a.Target), "share": floatSetter(&a.TargetShare),
 	})
 }
 
@@ -76,11 +76,11 @@
 // Format returns the account in the syntax of ParseAccount.
 func (a Account) Format() string {
 	s := "id=" + string(a.ID) + ";key=" + string(a.Key) + ";rate=" + formatFloat(a.Rate)
-	if a.Times != 0 {
-		s += ";times=" + formatFloat(a.Times)
+	if a.LoadFactor != 0 {
+		s += ";times=" + formatFloat(a.LoadFactor)
 	}
 	if a.Target != "" {
-		s += ";target=" + a.Target + ";share=" + formatFloat(a.Share)
+		s += ";target=" + a.Target + ";share=" + formatFloat(a.TargetShare)
 	}
 	return s
 }
--- a/internal/standin/load/send.go
+++ b/internal/standin/load/send.go
@@ -55,7 +55,7 @@
 }
 
 func (g *Generator) send(r request) result {
-	deadline := r.arrival.Add(g.cfg.Delay + g.cfg.Deadline)
+	deadline := r.arrival.Add(g.cfg.NetworkDelay + g.cfg.Deadline)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(lateAnswerWait))
 	defer cancel()
 	res, err := g.pools[r.target.Name].Do(ctx, g.buildRequest(r, deadline))
@@ -81,7 +81,7 @@
 	h.Set(HeaderClientID, r.id)
 	h.Set(fleet.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	if g.cfg.Direct {
-		SetUpstreamHeaders(h, time.Now(), Outgoing{ID: r.id, Account: r.account.ID, Key: r.key, Deadline: deadline})
+		SetUpstreamHeaders(h, time.Now(), UpstreamRequest{ID: r.id, Account: r.account.ID, Key: r.key, Deadline: deadline})
 	} else {
 		h.Set("Authorization", "Bearer "+string(r.account.Key))
 	}
--- a/internal/standin/scenario/fleet.go
+++ b/internal/standin/scenario/fleet.go
@@ -103,8 +103,8 @@
 		}
 	}
 	if err := parseOptions(args, map[string]func(string) error{
-		"times":  perAccount(func(a *lab.Account, n float64) { a.Times = n }),
-		"sticky": perAccount(func(a *lab.Account, n float64) { a.Sticky = n }),
+		"times":  perAccount(func(a *lab.Account, n float64) { a.LoadFactor = n }),
+		"sticky": perAccount(func(a *lab.Account, n float64) { a.StickyShare = n }),
 	}); err != nil {
 		return err
 	}
--- a/internal/standin/scenario/operators.go
+++ b/internal/standin/scenario/operators.go
@@ -58,7 +58,7 @@
 // applyEdit edits the catalogue once through one instance and waits until the edit
 // is in force.
 func (s *Session) applyEdit(ctx context.Context, i lab.Instance, edit func(c *catalogue.Catalogue) error) error {
-	c := s.fleet.Operator(i)
+	c := s.fleet.OperatorClient(i)
 	defer c.Close()
 	cat, base, err := c.Catalogue(ctx)
 	if err != nil {
@@ -179,7 +179,7 @@
 		if !ok {
 			return errors.Errorf("unknown instance %q", args[n+2])
 		}
-		clients[n] = s.fleet.Operator(i)
+		clients[n] = s.fleet.OperatorClient(i)
 		defer clients[n].Close()
 		var err error
 		if edits[n], bases[n], err = clients[n].Catalogue(ctx); err != nil {
--- a/internal/standin/scenario/smuggle.go
+++ b/internal/standin/scenario/smuggle.go
@@ -73,7 +73,7 @@
 				h.Set("Authorization", "Bearer "+key)
 			}
 			h.Set(fleet.HeaderDeadline, "1000")
-			p := s.client.NewPool(instances[n%len(instances)].Caller, http1.PoolConfig{})
+			p := s.client.NewPool(instances[n%len(instances)].CallerAddr, http1.PoolConfig{})
 			reqCtx, cancel := context.WithTimeout(ctx, 2*requestTimeout)
 			res, err := p.Do(reqCtx, &http1.Request{Method: http.MethodGet, Target: r.target, Header: h})
 			cancel()
--- a/internal/standin/scenario/waits.go
+++ b/internal/standin/scenario/waits.go
@@ -67,7 +67,7 @@
 }
 
 func (s *Session) status(ctx context.Context, i lab.Instance) (operator.Status, error) {
-	c := s.fleet.Operator(i)
+	c := s.fleet.OperatorClient(i)
 	defer c.Close()
 	return c.Status(ctx)
 }
@@ -104,7 +104,7 @@
 // sendRequest sends one request with the account's caller key through an instance,
 // and returns the status and the body of the response.
 func (s *Session) sendRequest(ctx context.Context, i lab.Instance, account fleet.AccountID, key int) (int, []byte, error) {
-	p := s.client.NewPool(i.Caller, http1.PoolConfig{})
+	p := s.client.NewPool(i.CallerAddr, http1.PoolConfig{})
 	defer p.Close()
 	h := http.Header{"Authorization": {"Bearer " + string(lab.CallerKey(account))}}
 	h.Set(fleet.HeaderDeadline, "800")
@@ -146,7 +146,7 @@
 	return s.poll(ctx, args, func(ctx context.Context) error {
 		st, err := s.status(ctx, s.otherInstance(args[0]))
 		if err == nil && slices.ContainsFunc(st.Members, func(m operator.MemberStatus) bool { return string(m.ID) == args[0] }) {
-			err = errors.Errorf("%s is a member of assignment %d", args[0], st.Assignment)
+			err = errors.Errorf("%s is a member of assignment %d", args[0], st.AssignmentRevision)
 		}
 		return err
 	})
@@ -183,7 +183,7 @@
 		return errors.Errorf("unknown instance %q", args[0])
 	}
 	return s.poll(ctx, args, func(ctx context.Context) error {
-		p := s.client.NewPool(i.Caller, http1.PoolConfig{})
+		p := s.client.NewPool(i.CallerAddr, http1.PoolConfig{})
 		defer p.Close()
 		res, err := p.Do(ctx, &http1.Request{Method: http.MethodGet, Target: "/-/ready"})
 		if err != nil {
@@ -203,7 +203,7 @@
 func (s *Session) waitKnown(ctx context.Context, args []string) error {
 	for _, i := range s.runningInstances() {
 		if err := s.poll(ctx, args, func(ctx context.Context) error {
-			c := s.fleet.Operator(i)
+			c := s.fleet.OperatorClient(i)
 			defer c.Close()
 			cat, rev, err := c.Catalogue(ctx)
 			if err == nil && (rev < s.revision || !hasNoteEntry(cat, args[0])) {
--- a/internal/standin/store/handler.go
+++ b/internal/standin/store/handler.go
@@ -225,7 +225,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.SetFault(time.Now(), Fault{Mode: Mode(q.Get("mode")), Delay: delay, For: duration}); err != nil {
+	if err := s.SetFault(time.Now(), Fault{Mode: Mode(q.Get("mode")), Delay: delay, Duration: duration}); err != nil {
 		return nil, badRequest(err)
 	}
 	return emptyAnswer{}, nil
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -63,9 +63,9 @@
 
 // Fault is a failure of the key-value store, or with ModeOK the end of one.
 type Fault struct {
-	Mode  Mode
-	Delay time.Duration // for ModeSlow
-	For   time.Duration // how long the fault lasts; 0: until the next fault is set
+	Mode     Mode
+	Delay    time.Duration // for ModeSlow
+	Duration time.Duration // how long the fault lasts; 0: until the next fault is set
 }
 
 // Server is a running store.
@@ -152,8 +152,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.fault, s.faultUntil = f, time.Time{}
-	if f.For > 0 {
-		s.faultUntil = now.Add(f.For)
+	if f.Duration > 0 {
+		s.faultUntil = now.Add(f.Duration)
 	}
 	s.wakeWatches()
 	return nil
--- a/internal/standin/upstream/control.go
+++ b/internal/standin/upstream/control.go
@@ -100,9 +100,9 @@
 // LeaseEnd returns the end of the lease, or 0 if there is none.
 func (c *Control) LeaseEnd() dispatch.Stamp { return c.leaseEnd }
 
-// Holds reports whether the upstream owns the unit under exactly this fence, so that a
-// request may run.
-func (c *Control) Holds(now dispatch.Stamp, unit fleet.Unit, fence fleet.Fence) bool {
+// MayRun reports whether a request may run: whether the upstream owns the unit under
+// exactly this fence, or does not check fences.
+func (c *Control) MayRun(now dispatch.Stamp, unit fleet.Unit, fence fleet.Fence) bool {
 	if c.unfenced {
 		return true
 	}
--- a/internal/standin/upstream/execute.go
+++ b/internal/standin/upstream/execute.go
@@ -176,7 +176,7 @@
 		return refuse(in, http.StatusGatewayTimeout, "start-by time passed")
 	case !s.control.unfenced && in.dispatcher != s.control.dispatcher:
 		return refuse(in, http.StatusConflict, "other dispatcher fence")
-	case !s.control.Holds(s.clock(), in.unit, in.fence):
+	case !s.control.MayRun(s.clock(), in.unit, in.fence):
 		return refuse(in, http.StatusConflict, "no such grant or lease")
 	case s.faults.activeAt(now).mode == modeShed:
 		return refuse(in, http.StatusServiceUnavailable, "shed")
@@ -210,7 +210,7 @@
 		res = refuse(in, http.StatusServiceUnavailable, "cancelled")
 	case !now.Before(in.deadline):
 		res = refuse(in, http.StatusGatewayTimeout, "deadline passed")
-	case !s.control.Holds(s.clock(), in.unit, in.fence):
+	case !s.control.MayRun(s.clock(), in.unit, in.fence):
 		res = refuse(in, http.StatusConflict, "grant or lease ended")
 	case s.warmUp.overloaded(now):
 		res = &response{status: http.StatusServiceUnavailable, detail: "overloaded", in: in}
--- a/pkg/catalogue/check.go
+++ b/pkg/catalogue/check.go
@@ -175,7 +175,7 @@
 		}
 		k.pathPrefix(e.PathPrefix)
 		if other, dup := prefixes[e.PathPrefix]; dup && e.PathPrefix != "" {
-			k.report("path-prefix", "%q: already used by entry %q", e.PathPrefix, other)
+			k.report("path-prefix", "%q: entry %q has the same", e.PathPrefix, other)
 		}
 		prefixes[e.PathPrefix] = e.ID
 		oneOf(k, "class", e.Class, Idempotent, NonIdempotent)
@@ -187,7 +187,7 @@
 
 func (k *checker) entryAccounts(e Entry, accounts map[fleet.AccountID]bool) {
 	if e.Open && len(e.Accounts) > 0 {
-		k.report("accounts", "an open entry cannot be restricted to client accounts")
+		k.report("accounts", "an open route cannot be restricted to client accounts")
 	}
 	if len(e.Accounts) > maxAccounts {
 		k.report("accounts", "%d accounts: want at most %d", len(e.Accounts), maxAccounts)
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -146,7 +146,7 @@
 	switch name {
 	case "down":
 		env.store.FreezeLeases(rate < 0.5)
-		env.store.SetFault(func(string) standin.Fault { return standin.Fault{Silent: true} })
+		env.store.SetFault(func(string) standin.Fault { return standin.Fault{NoResponse: true} })
 	case "answers 503":
 		env.store.SetFault(sometimes(standin.Fault{Status: 503}))
 	case "answers 429":
@@ -154,11 +154,11 @@
 	case "slow":
 		env.store.SetFault(sometimes(standin.Fault{Delay: 300 * time.Millisecond}))
 	case "drops responses":
-		env.store.SetFault(sometimes(standin.Fault{Lose: true}))
+		env.store.SetFault(sometimes(standin.Fault{DropResponse: true}))
 	case "late":
-		env.store.SetFault(sometimes(standin.Fault{Late: env.randomDuration(time.Second, 4*time.Second)}))
+		env.store.SetFault(sometimes(standin.Fault{ExecuteAfter: env.randomDuration(time.Second, 4*time.Second)}))
 	case "drops history":
-		env.store.Forget()
+		env.store.DropHistory()
 		return
 	}
 	scheduleFunc(g, d, func() {
@@ -264,7 +264,7 @@
 		u.draining = announced
 		key, value := u.Registration(u.addr, true)
 		if announced {
-			env.store.PutFor(key, value, 3*heartbeatInterval)
+			env.store.PutWithTTL(key, value, 3*heartbeatInterval)
 		} else {
 			env.store.Remove(key)
 		}
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -147,8 +147,8 @@
 	work := 20 * time.Millisecond
 	var err error
 	u.Upstream, err = standin.StartUpstream(standin.UpstreamConfig{
-		ID: u.route, Service: service, Zone: zone, Sharded: service == "vault", Work: work,
-		Began: func(_ *standin.Upstream, r *http.Request) { env.executions.recordStart(env, u, r) },
+		ID: u.route, Service: service, Zone: zone, Sharded: service == "vault", ServiceTime: work,
+		OnStart: func(_ *standin.Upstream, r *http.Request) { env.executions.recordStart(env, u, r) },
 	})
 	if err == nil {
 		u.addr, err = env.relays.AddRoute(u.route, "127.0.0.1:0", u.Addr())
@@ -171,7 +171,7 @@
 	defer u.mu.Unlock()
 	if !u.down && (u.leftAt.IsZero() || u.draining) {
 		key, value := u.Registration(u.addr, u.draining)
-		env.store.PutFor(key, value, 3*heartbeatInterval)
+		env.store.PutWithTTL(key, value, 3*heartbeatInterval)
 	}
 }
 
