--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -41,17 +41,17 @@
 // Member is an instance that counts towards the majorities by which authority is
 // decided (see package authority).
 type Member struct {
-	ID      fleet.InstanceID
-	Boot    fleet.BootID
-	Address string // for traffic between instances
-	HTTP    string // for forwarded requests
-	Zone    fleet.ZoneID
+	ID             fleet.InstanceID
+	Boot           fleet.BootID
+	Address        string // for traffic between instances
+	ForwardAddress string // for forwarded requests
+	Zone           fleet.ZoneID
 }
 
-// Run returns an id for this run of the instance, made of its id and boot id.
+// RunID returns an id for this run of the instance, made of its id and boot id.
 // Majorities count runs, because a restarted instance has lost the revisions that
 // its earlier run had learned.
-func (m Member) Run() fleet.InstanceID { return m.ID + "@" + fleet.InstanceID(m.Boot) }
+func (m Member) RunID() fleet.InstanceID { return m.ID + "@" + fleet.InstanceID(m.Boot) }
 
 // State is the lifecycle state of an upstream. Only a live upstream is given units.
 type State string
--- a/internal/assignment/decode.go
+++ b/internal/assignment/decode.go
@@ -95,7 +95,7 @@
 			"id":      func(in *jx.Decoder) error { return decodeString(in, &m.ID) },
 			"boot":    func(in *jx.Decoder) error { return decodeString(in, &m.Boot) },
 			"address": func(in *jx.Decoder) error { return decodeString(in, &m.Address) },
-			"http":    func(in *jx.Decoder) error { return decodeString(in, &m.HTTP) },
+			"http":    func(in *jx.Decoder) error { return decodeString(in, &m.ForwardAddress) },
 			"zone":    func(in *jx.Decoder) error { return decodeString(in, &m.Zone) },
 		}); err != nil {
 			return errors.Wrapf(err, "member %d", len(*out))
--- a/internal/assignment/encode.go
+++ b/internal/assignment/encode.go
@@ -69,7 +69,7 @@
 	e.FieldStart(name)
 	writeArray(e, members, func(m Member) {
 		e.ObjStart()
-		e.writeStringFields("id", string(m.ID), "boot", string(m.Boot), "address", m.Address, "http", m.HTTP, "zone", string(m.Zone))
+		e.writeStringFields("id", string(m.ID), "boot", string(m.Boot), "address", m.Address, "http", m.ForwardAddress, "zone", string(m.Zone))
 		e.ObjEnd()
 	})
 }
--- a/internal/assignment/world_test.go
+++ b/internal/assignment/world_test.go
@@ -47,7 +47,7 @@
 }
 
 func (fx *fixture) joinInstance(id, zone, boot string) {
-	fx.joining[fleet.InstanceID(id)] = Member{ID: fleet.InstanceID(id), Boot: fleet.BootID(boot), Address: id, HTTP: id, Zone: fleet.ZoneID(zone)}
+	fx.joining[fleet.InstanceID(id)] = Member{ID: fleet.InstanceID(id), Boot: fleet.BootID(boot), Address: id, ForwardAddress: id, Zone: fleet.ZoneID(zone)}
 }
 
 func (fx *fixture) setOutOfService(kind catalogue.OutageKind, name string, out bool) {
--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -14,7 +14,7 @@
 // one of the new list, because lists that differ by more than one member can have
 // disjoint majorities.
 //
-// The ids in a Table identify runs of instances, see assignment.Member.Run. A
+// The ids in a Table identify runs of instances, see assignment.Member.RunID. A
 // restarted instance has lost the revisions that its earlier run had learned. If its
 // answers counted for that run, a majority could act on revisions that a change in
 // force has replaced.
@@ -29,24 +29,24 @@
 	"github.com/parsleyproxy/parsleyproxy/pkg/fleet"
 )
 
-// Known is the pair of record revisions that an instance knows.
-type Known struct{ Catalogue, Assignment fleet.Revision }
+// Revisions holds the revisions of the catalogue and of the assignment.
+type Revisions struct{ Catalogue, Assignment fleet.Revision }
 
-// Covers reports whether both revisions of k are at least those of o.
-func (k Known) Covers(o Known) bool {
-	return k.Catalogue >= o.Catalogue && k.Assignment >= o.Assignment
+// Covers reports whether both revisions of r are at least those of o.
+func (r Revisions) Covers(o Revisions) bool {
+	return r.Catalogue >= o.Catalogue && r.Assignment >= o.Assignment
 }
 
-// Max returns, for each record, the higher revision of k and o.
-func (k Known) Max(o Known) Known {
-	return Known{max(k.Catalogue, o.Catalogue), max(k.Assignment, o.Assignment)}
+// Max returns, for each record, the higher revision of r and o.
+func (r Revisions) Max(o Revisions) Revisions {
+	return Revisions{max(r.Catalogue, o.Catalogue), max(r.Assignment, o.Assignment)}
 }
 
 // answer is an answer to a read or poll sent at the time sent. It shows that at some
 // time after sent the sender of the answer knew no higher revisions.
 type answer struct {
 	sent      time.Time
-	revisions Known
+	revisions Revisions
 }
 
 // answers holds the latest answers of the store or of a peer. valid is the latest
@@ -54,9 +54,9 @@
 // higher revisions, which becomes valid once the instance has applied them.
 type answers struct{ valid, pending answer }
 
-func (s *answers) add(a answer, known Known) {
+func (s *answers) add(a answer, applied Revisions) {
 	switch {
-	case !known.Covers(a.revisions):
+	case !applied.Covers(a.revisions):
 		if a.sent.After(s.pending.sent) {
 			s.pending = a
 		}
@@ -65,9 +65,9 @@
 	}
 }
 
-func (s *answers) promotePending(known Known) {
-	if !s.pending.sent.IsZero() && known.Covers(s.pending.revisions) {
-		s.add(s.pending, known)
+func (s *answers) promotePending(applied Revisions) {
+	if !s.pending.sent.IsZero() && applied.Covers(s.pending.revisions) {
+		s.add(s.pending, applied)
 		s.pending = answer{}
 	}
 }
@@ -78,30 +78,30 @@
 
 // observation records when an instance was first seen to know a pair of revisions.
 type observation struct {
-	revisions Known
+	revisions Revisions
 	at        time.Time
 }
 
 // history is a list of observations in ascending order of revisions.
 type history []observation
 
-func (s *history) add(k Known, at time.Time) {
+func (s *history) add(r Revisions, at time.Time) {
 	if n := len(*s); n > 0 {
-		k = k.Max((*s)[n-1].revisions)
-		if k == (*s)[n-1].revisions {
+		r = r.Max((*s)[n-1].revisions)
+		if r == (*s)[n-1].revisions {
 			return
 		}
 	}
 	if len(*s) == maxObservations {
 		*s = slices.Delete(*s, 0, 1)
 	}
-	*s = append(*s, observation{k, at})
+	*s = append(*s, observation{r, at})
 }
 
-// firstAtLeast returns the time of the first observation that covers k.
-func (s history) firstAtLeast(k Known) (time.Time, bool) {
+// firstAtLeast returns the time of the first observation that covers r.
+func (s history) firstAtLeast(r Revisions) (time.Time, bool) {
 	for _, x := range s {
-		if x.revisions.Covers(k) {
+		if x.revisions.Covers(r) {
 			return x.at, true
 		}
 	}
@@ -121,8 +121,8 @@
 	ttl                  time.Duration
 	members, previous    []fleet.InstanceID
 	listsChangedAt       time.Time // zero: changed since the last call of advance
-	applied, highestSeen Known     // applied by this instance; seen in any answer
-	inForce              Known
+	applied, highestSeen Revisions // applied by this instance; seen in any answer
+	inForce              Revisions
 	now                  time.Time // latest time passed to a method
 	store                answers
 	ownHistory           history
@@ -152,11 +152,11 @@
 	}
 }
 
-// Learn records that this instance has applied the revisions k.
-func (t *Table) Learn(now time.Time, k Known) {
+// Learn records that this instance has applied the revisions r.
+func (t *Table) Learn(now time.Time, r Revisions) {
 	t.advance(now)
-	t.applied = t.applied.Max(k)
-	t.highestSeen = t.highestSeen.Max(k)
+	t.applied = t.applied.Max(r)
+	t.highestSeen = t.highestSeen.Max(r)
 	t.ownHistory.add(t.applied, now)
 	t.store.promotePending(t.applied)
 	for _, p := range t.peers {
@@ -164,21 +164,21 @@
 	}
 }
 
-// Known returns the revisions that this instance has applied.
-func (t *Table) Known() Known { return t.applied }
+// Applied returns the revisions that this instance has applied.
+func (t *Table) Applied() Revisions { return t.applied }
 
 // StoreAnswered records that the store answered a read of both records, sent at the
-// time sent, with the revisions k.
-func (t *Table) StoreAnswered(sent time.Time, k Known) {
-	t.highestSeen = t.highestSeen.Max(k)
-	t.store.add(answer{sent, k}, t.applied)
+// time sent, with the revisions r.
+func (t *Table) StoreAnswered(sent time.Time, r Revisions) {
+	t.highestSeen = t.highestSeen.Max(r)
+	t.store.add(answer{sent, r}, t.applied)
 }
 
 // PeerAnswered records that the peer answered a poll, sent at the time sent, with
-// the revisions k.
-func (t *Table) PeerAnswered(sent, now time.Time, id fleet.InstanceID, k Known) {
+// the revisions r.
+func (t *Table) PeerAnswered(sent, now time.Time, id fleet.InstanceID, r Revisions) {
 	t.advance(now)
-	t.highestSeen = t.highestSeen.Max(k)
+	t.highestSeen = t.highestSeen.Max(r)
 	if id == t.self {
 		return
 	}
@@ -193,13 +193,13 @@
 	if now.After(p.lastHeard) {
 		p.lastHeard = now
 	}
-	p.add(answer{sent, k}, t.applied)
-	p.history.add(k, now)
+	p.add(answer{sent, r}, t.applied)
+	p.history.add(r, now)
 }
 
-// ConfirmGone replaces the set of members that, according to the platform, have
+// ConfirmEnded replaces the set of members that, according to the platform, have
 // ended. Ended members cannot act, so they count as having learned all changes.
-func (t *Table) ConfirmGone(ids []fleet.InstanceID) {
+func (t *Table) ConfirmEnded(ids []fleet.InstanceID) {
 	ended := make(map[fleet.InstanceID]time.Time, len(ids))
 	for _, id := range ids {
 		ended[id] = t.ended[id]
@@ -227,25 +227,25 @@
 }
 
 // Learned reports whether majorities of both member lists are known to have learned
-// k.
-func (t *Table) Learned(k Known) bool {
-	_, ok := t.learnedAt(k)
+// r.
+func (t *Table) Learned(r Revisions) bool {
+	_, ok := t.learnedAt(r)
 	return ok
 }
 
 // InForce reports whether no instance with authority can act on revisions lower than
-// k. The wait of one TTL applies even if every member has learned k, because an
+// r. The wait of one TTL applies even if every member has learned r, because an
 // instance that is not a member may still act on answers from the last TTL.
-func (t *Table) InForce(now time.Time, k Known) bool {
+func (t *Table) InForce(now time.Time, r Revisions) bool {
 	t.advance(now)
-	if t.inForce.Covers(k) {
+	if t.inForce.Covers(r) {
 		return true
 	}
-	at, ok := t.learnedAt(k)
+	at, ok := t.learnedAt(r)
 	if !ok || now.Sub(at) < t.ttl {
 		return false
 	}
-	t.inForce = t.inForce.Max(k)
+	t.inForce = t.inForce.Max(r)
 	return true
 }
 
@@ -298,41 +298,41 @@
 }
 
 // learnedAt returns the time since which majorities of both lists are known to have
-// learned k. It returns false while an answer has named a newer assignment, which
-// may have other member lists. The time is never before this instance learned k:
-// ended members count as having learned k even if they ended before k was written,
+// learned r. It returns false while an answer has named a newer assignment, which
+// may have other member lists. The time is never before this instance learned r:
+// ended members count as having learned r even if they ended before r was written,
 // which does not rule out that an instance still acts on an earlier store read.
-func (t *Table) learnedAt(k Known) (time.Time, bool) {
-	if len(t.members) == 0 || !t.applied.Covers(k) || t.highestSeen.Assignment > t.applied.Assignment {
+func (t *Table) learnedAt(r Revisions) (time.Time, bool) {
+	if len(t.members) == 0 || !t.applied.Covers(r) || t.highestSeen.Assignment > t.applied.Assignment {
 		return time.Time{}, false
 	}
-	at := majorityTime(t.members, t.learnTime(k), oldestFirst)
+	at := majorityTime(t.members, t.learnTime(r), oldestFirst)
 	if at.IsZero() {
 		return at, false
 	}
 	if len(t.previous) > 0 {
-		previousAt := majorityTime(t.previous, t.learnTime(k), oldestFirst)
+		previousAt := majorityTime(t.previous, t.learnTime(r), oldestFirst)
 		if previousAt.IsZero() {
 			return previousAt, false
 		}
 		at = latest(at, previousAt)
 	}
-	if ownAt, ok := t.ownHistory.firstAtLeast(k); ok {
+	if ownAt, ok := t.ownHistory.firstAtLeast(r); ok {
 		return latest(latest(at, ownAt), t.listsChangedAt), true
 	}
 	return time.Time{}, false
 }
 
 // learnTime returns a function that returns the time since which a member is known to
-// have learned k. An ended member counts from the later of the confirmation of its
+// have learned r. An ended member counts from the later of the confirmation of its
 // end and the last change of the member lists.
-func (t *Table) learnTime(k Known) func(fleet.InstanceID) (time.Time, bool) {
+func (t *Table) learnTime(r Revisions) func(fleet.InstanceID) (time.Time, bool) {
 	return func(id fleet.InstanceID) (time.Time, bool) {
 		if id == t.self {
-			return t.ownHistory.firstAtLeast(k)
+			return t.ownHistory.firstAtLeast(r)
 		}
 		if p, ok := t.peers[id]; ok {
-			if at, ok := p.history.firstAtLeast(k); ok {
+			if at, ok := p.history.firstAtLeast(r); ok {
 				return at, true
 			}
 		}
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -15,7 +15,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func revs(c, a fleet.Revision) Known { return Known{c, a} }
+func revs(c, a fleet.Revision) Revisions { return Revisions{c, a} }
 
 func newTestTable(members, previous ids) *Table {
 	t := New("a", ttl)
@@ -114,11 +114,11 @@
 	}
 }
 
-// TestConfirmGone guards against an ended member that blocks changes for ever, and
+// TestConfirmEnded guards against an ended member that blocks changes for ever, and
 // against counting a member as ended although it still answers.
-func TestConfirmGone(t *testing.T) {
+func TestConfirmEnded(t *testing.T) {
 	table := newTestTable(ids{"a", "b"}, nil)
-	table.ConfirmGone(ids{"b"})
+	table.ConfirmEnded(ids{"b"})
 	if !table.Learned(revs(1, 1)) || table.InForce(at(100), revs(1, 1)) || !table.InForce(at(1100), revs(1, 1)) {
 		t.Error("ended member does not count as having learned since the confirmation")
 	}
@@ -131,7 +131,7 @@
 		t.Error("member that answers still counts as ended")
 	}
 	endedEarlier := newTestTable(ids{"a", "b", "c"}, nil)
-	endedEarlier.ConfirmGone(ids{"b", "c"})
+	endedEarlier.ConfirmEnded(ids{"b", "c"})
 	endedEarlier.Holds(at(100))
 	endedEarlier.Learn(at(2000), revs(2, 1))
 	if endedEarlier.InForce(at(2999), revs(2, 1)) || !endedEarlier.InForce(at(3000), revs(2, 1)) {
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -33,7 +33,7 @@
 func member(i int) assignment.Member {
 	return assignment.Member{
 		ID: fleet.InstanceID(fmt.Sprintf("instance-%05d", i)), Boot: fleet.BootID(fmt.Sprintf("boot-%016x", i)),
-		Address: fmt.Sprintf("10.%d.%d.1:7100", i/250, i%250), HTTP: fmt.Sprintf("10.%d.%d.1:7200", i/250, i%250),
+		Address: fmt.Sprintf("10.%d.%d.1:7100", i/250, i%250), ForwardAddress: fmt.Sprintf("10.%d.%d.1:7200", i/250, i%250),
 		Zone: fleet.ZoneID(fmt.Sprintf("zone-%02d", i%12)),
 	}
 }
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -129,7 +129,7 @@
 }
 
 // knownRevisions are the revisions that polls and their answers report.
-var knownRevisions = authority.Known{Catalogue: 123_456, Assignment: 123_789}
+var knownRevisions = authority.Revisions{Catalogue: 123_456, Assignment: 123_789}
 
 func pollRequest() peer.PollRequest {
 	return peer.PollRequest{From: member(1), Phase: peer.Serving, Known: knownRevisions}
--- a/internal/instance/dispatcher.go
+++ b/internal/instance/dispatcher.go
@@ -80,7 +80,7 @@
 		if !ok {
 			t = term{revision: s.known.Assignment}
 		}
-		if t.inForceAt.IsZero() && n.authority.InForce(now, authority.Known{Assignment: t.revision}) {
+		if t.inForceAt.IsZero() && n.authority.InForce(now, authority.Revisions{Assignment: t.revision}) {
 			t.inForceAt = now
 		}
 		terms[key] = t
--- a/internal/instance/forward.go
+++ b/internal/instance/forward.go
@@ -39,12 +39,12 @@
 	header.Set(fleet.HeaderRequestID, string(j.id))
 	header.Set(fleet.HeaderAccount, string(j.account))
 	header.Set(fleet.HeaderDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	res, err := n.forwardPool(m.HTTP).Do(ctx, &http1.Request{
+	res, err := n.forwardPool(m.ForwardAddress).Do(ctx, &http1.Request{
 		Method: j.method, Target: j.target, Host: j.host, Header: header, Body: j.body,
 	})
 	if err != nil {
 		// The other idle connections have probably failed as well.
-		n.forwardPool(m.HTTP).CloseIdle()
+		n.forwardPool(m.ForwardAddress).CloseIdle()
 		return nil, forwardRefusal(err, m.ID)
 	}
 	if got := res.Header.Get(fleet.HeaderRequestID); got != string(j.id) {
@@ -73,7 +73,7 @@
 func (n *Instance) closeUnusedConnections(s *snapshot) {
 	memberAddrs := make(map[string]bool, len(s.assignment.Members))
 	for _, m := range s.assignment.Members {
-		memberAddrs[m.HTTP] = true
+		memberAddrs[m.ForwardAddress] = true
 	}
 	for addr, p := range n.forwardPools {
 		if !memberAddrs[addr] {
--- a/internal/instance/history.go
+++ b/internal/instance/history.go
@@ -82,19 +82,19 @@
 }
 
 type timedRevision struct {
-	known authority.Known
+	known authority.Revisions
 	at    time.Time
 }
 
 const maxInForceRevisions = 64
 
-func (c *revisionHistory) add(now time.Time, k authority.Known) {
-	c.pending = append(c.pending, timedRevision{k, now})
+func (c *revisionHistory) add(now time.Time, r authority.Revisions) {
+	c.pending = append(c.pending, timedRevision{r, now})
 }
 
 // takeInForce moves the revisions that are now in force from pending to inForce.
 // It returns the time that each took from being learned.
-func (c *revisionHistory) takeInForce(now time.Time, inForce func(authority.Known) bool) []time.Duration {
+func (c *revisionHistory) takeInForce(now time.Time, inForce func(authority.Revisions) bool) []time.Duration {
 	var out []time.Duration
 	for len(c.pending) > 0 && inForce(c.pending[0].known) {
 		out = append(out, now.Sub(c.pending[0].at))
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -114,7 +114,7 @@
 	}
 	self := assignment.Member{
 		ID: cfg.Instance, Boot: fleet.BootID(rand.Text()), Zone: cfg.Zone,
-		Address: cfg.AdvertisePeer, HTTP: cfg.AdvertiseForward,
+		Address: cfg.AdvertisePeer, ForwardAddress: cfg.AdvertiseForward,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	home := limit.NewHome(tokenTTL)
@@ -125,7 +125,7 @@
 		peers: peer.NewClient(peer.Secret(cfg.FleetSecret)), upstreams: upstream.New(client),
 		ctx: ctx, cancel: cancel,
 		triggerStoreRead: make(chan struct{}, 1), triggerPolls: make(chan struct{}, 1),
-		authority: authority.New(self.Run(), cfg.AuthorityTTL), members: newMemberTable(self.ID, self.Boot), phase: peer.Serving,
+		authority: authority.New(self.RunID(), cfg.AuthorityTTL), members: newMemberTable(self.ID, self.Boot), phase: peer.Serving,
 		home: home, homes: newHomeTable(cfg.Instance, home), holder: limit.NewHolder(),
 		tokenCalls: map[fleet.LimitID]chan struct{}{}, dispatch: dispatch.New(dispatch.Config{Instance: cfg.Instance}),
 		detailsPolledAt: map[string]time.Time{}, terms: map[termKey]term{}, knownLimits: map[fleet.UpstreamID]dispatch.KnownLimit{}, pendingJobs: map[fleet.RequestID]*pendingJob{}, attemptCancels: map[attemptKey]context.CancelFunc{}, forwardPools: map[string]*http1.Pool{}, connectedAssignment: &assignment.Assignment{},
@@ -336,12 +336,12 @@
 	if q.PollBack {
 		go n.poll(n.ctx, q.From.Address, false)
 	}
-	known := n.authority.Known()
-	if !known.Covers(q.Known) {
+	applied := n.authority.Applied()
+	if !applied.Covers(q.Known) {
 		go n.fetchRecords(n.ctx, q.From.Address)
 	}
 	a := peer.PollAnswer{
-		From: n.self.ID, Boot: n.self.Boot, Phase: n.phase, Known: known, StoreAge: -1, Details: q.Details,
+		From: n.self.ID, Boot: n.self.Boot, Phase: n.phase, Known: applied, StoreAge: -1, Details: q.Details,
 	}
 	if q.Details {
 		a.Heard, a.Reports = n.members.answerAges(now), n.dispatch.Reports(now)
@@ -404,7 +404,7 @@
 // recordInForce records which revisions have come into force and reports to the
 // metrics how long each took. The caller holds mu.
 func (n *Instance) recordInForce(now time.Time) {
-	for _, took := range n.revisions.takeInForce(now, func(k authority.Known) bool { return n.authority.InForce(now, k) }) {
+	for _, took := range n.revisions.takeInForce(now, func(k authority.Revisions) bool { return n.authority.InForce(now, k) }) {
 		n.metrics.InForceAfter(took)
 	}
 }
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -229,7 +229,7 @@
 		return
 	}
 	n.homes.dropEndedEpochs(func(rev fleet.Revision) bool {
-		return n.authority.InForce(now, authority.Known{Assignment: rev})
+		return n.authority.InForce(now, authority.Revisions{Assignment: rev})
 	})
 	if !n.homes.needsCheck || now.Sub(n.homesCheckedAt) < homeCheckInterval {
 		return
--- a/internal/instance/members.go
+++ b/internal/instance/members.go
@@ -336,7 +336,7 @@
 	defer n.activePolls.Delete(addr)
 	n.mu.Lock()
 	sent := time.Now()
-	q := peer.PollRequest{From: n.self, Phase: n.phase, Known: n.authority.Known(), PollBack: pollBack}
+	q := peer.PollRequest{From: n.self, Phase: n.phase, Known: n.authority.Applied(), PollBack: pollBack}
 	q.Details = n.members.shouldPlan(sent, n.started) || sent.Sub(n.detailsPolledAt[addr]) >= detailsInterval
 	if q.Details {
 		n.detailsPolledAt[addr] = sent
@@ -376,14 +376,14 @@
 	}
 	for _, m := range n.snapshot().assignment.PreviousMembers {
 		if n.members.boots[m.ID] != m.Boot && n.members.hasEnded(m.ID, m.Boot) {
-			ended = append(ended, m.Run())
+			ended = append(ended, m.RunID())
 		}
 	}
-	n.authority.ConfirmGone(ended)
+	n.authority.ConfirmEnded(ended)
 }
 
 func runID(id fleet.InstanceID, boot fleet.BootID) fleet.InstanceID {
-	return assignment.Member{ID: id, Boot: boot}.Run()
+	return assignment.Member{ID: id, Boot: boot}.RunID()
 }
 
 // runList reads the platform's instance list periodically.
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -92,7 +92,7 @@
 			p.Learned++
 		}
 	}
-	p.InForce = s.known.Catalogue >= rev && n.authority.InForce(now, authority.Known{Catalogue: rev})
+	p.InForce = s.known.Catalogue >= rev && n.authority.InForce(now, authority.Revisions{Catalogue: rev})
 	n.recordInForce(now)
 	if at, ok := n.revisions.inForceSince(rev); ok {
 		p.Since = at
--- a/internal/instance/records.go
+++ b/internal/instance/records.go
@@ -25,7 +25,7 @@
 // snapshot is the durable state that an instance knows. It is immutable and
 // replaced as a whole.
 type snapshot struct {
-	known         authority.Known
+	known         authority.Revisions
 	catalogue     *catalogue.Catalogue
 	catalogueRaw  []byte
 	index         *route.Index
@@ -143,7 +143,7 @@
 func runIDs(members []assignment.Member) []fleet.InstanceID {
 	out := make([]fleet.InstanceID, len(members))
 	for i, m := range members {
-		out[i] = m.Run()
+		out[i] = m.RunID()
 	}
 	return out
 }
@@ -167,7 +167,7 @@
 	defer n.mu.Unlock()
 	n.hasAuthority(now)
 	n.storeAnswered = now
-	n.authority.StoreAnswered(sent, n.authority.Known())
+	n.authority.StoreAnswered(sent, n.authority.Applied())
 	return nil
 }
 
--- a/internal/instance/serve_test.go
+++ b/internal/instance/serve_test.go
@@ -45,7 +45,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := emptySnapshot()
-			s.known, s.catalogue, s.index = authority.Known{Catalogue: tt.rev}, tt.c, route.NewIndex(tt.c)
+			s.known, s.catalogue, s.index = authority.Revisions{Catalogue: tt.rev}, tt.c, route.NewIndex(tt.c)
 			n.current.Store(s)
 			j := &job{decidedRevision: 1, recheck: func(s *snapshot) *fleet.Refusal {
 				_, refusal := route.Decide(time.Now(), s.index, in)
--- a/internal/instance/tables_test.go
+++ b/internal/instance/tables_test.go
@@ -27,7 +27,7 @@
 }
 
 func testSnapshot(rev fleet.Revision, m []assignment.Member) *snapshot {
-	return &snapshot{known: authority.Known{Assignment: rev}, assignment: &assignment.Assignment{Members: m}}
+	return &snapshot{known: authority.Revisions{Assignment: rev}, assignment: &assignment.Assignment{Members: m}}
 }
 
 // limitWithHomes returns a limit whose home is wanted under a and other under b.
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -113,7 +113,7 @@
 	})
 }
 
-func encodeKnown(e *jx.Encoder, k authority.Known) {
+func encodeKnown(e *jx.Encoder, k authority.Revisions) {
 	e.FieldStart("known")
 	e.Obj(func(e *jx.Encoder) {
 		encodeUnsigned(e, "catalogue", k.Catalogue)
@@ -121,7 +121,7 @@
 	})
 }
 
-func decodeKnown(d *jx.Decoder, k *authority.Known) error {
+func decodeKnown(d *jx.Decoder, k *authority.Revisions) error {
 	return decodeObject(d, func(d *jx.Decoder, name string) error {
 		switch name {
 		case "catalogue":
@@ -140,7 +140,7 @@
 		encodeString(e, "id", m.From.ID)
 		encodeString(e, "boot", m.From.Boot)
 		encodeString(e, "address", m.From.Address)
-		encodeString(e, "http", m.From.HTTP)
+		encodeString(e, "http", m.From.ForwardAddress)
 		encodeString(e, "zone", m.From.Zone)
 	})
 	encodeString(e, "phase", m.Phase)
@@ -175,7 +175,7 @@
 	case "address":
 		return decodeString(d, &m.Address)
 	case "http":
-		return decodeString(d, &m.HTTP)
+		return decodeString(d, &m.ForwardAddress)
 	case "zone":
 		return decodeString(d, &m.Zone)
 	default:
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -23,9 +23,9 @@
 // PollRequest asks an instance for its state. It also serves as the heartbeat of
 // the sender.
 type PollRequest struct {
-	From  assignment.Member // the sender
-	Phase Phase             // phase of the sender
-	Known authority.Known   // newest record revisions that the sender has
+	From  assignment.Member   // the sender
+	Phase Phase               // phase of the sender
+	Known authority.Revisions // newest record revisions that the sender has
 	// Details asks for Heard and Reports in the answer. Only the planner needs them
 	// in every poll; a poll without them costs less than half.
 	Details bool
@@ -39,8 +39,8 @@
 	From    fleet.InstanceID
 	Boot    fleet.BootID
 	Phase   Phase
-	Known   authority.Known // newest record revisions that the instance has
-	Details bool            // whether Heard and Reports are present
+	Known   authority.Revisions // newest record revisions that the instance has
+	Details bool                // whether Heard and Reports are present
 	// StoreAge is the time since the store last answered this instance. It is
 	// negative if the store never did.
 	StoreAge time.Duration
@@ -55,7 +55,7 @@
 // RecordsRequest asks for the catalogue and assignment records whose revisions are
 // higher than those in Known.
 type RecordsRequest struct {
-	Known authority.Known
+	Known authority.Revisions
 }
 
 // RecordsAnswer carries the requested records in their encoded form. A revision of
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,7 +22,7 @@
 
 var (
 	wantPoll = PollAnswer{
-		From: "i2", Boot: "b", Phase: Draining, Known: authority.Known{Catalogue: 4, Assignment: 9}, Details: true,
+		From: "i2", Boot: "b", Phase: Draining, Known: authority.Revisions{Catalogue: 4, Assignment: 9}, Details: true,
 		StoreAge: 30 * time.Millisecond, Heard: map[fleet.InstanceID]time.Duration{"i3": time.Second},
 		Reports: map[fleet.UpstreamID]assignment.Report{"u1": {
 			Lost: true, Boot: "ub", Limit: 2, Slots: 6, InFlight: 1, Queued: 3, Load: 1.5, Average: 1.25,
@@ -82,8 +82,8 @@
 	c := NewClient(secret)
 	defer c.Close()
 	pollRequest := PollRequest{
-		From:  assignment.Member{ID: "i1", Boot: "b1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "z"},
-		Phase: Serving, Known: authority.Known{Catalogue: 1, Assignment: 2}, Details: true, PollBack: true,
+		From:  assignment.Member{ID: "i1", Boot: "b1", Address: "127.0.0.1:1", ForwardAddress: "127.0.0.1:2", Zone: "z"},
+		Phase: Serving, Known: authority.Revisions{Catalogue: 1, Assignment: 2}, Details: true, PollBack: true,
 	}
 	poll, err := c.Poll(t.Context(), s.Addr(), pollRequest)
 	if err != nil {
@@ -92,7 +92,7 @@
 	if diff := cmp.Diff(wantPoll, poll) + cmp.Diff(pollRequest, <-h.polls); diff != "" {
 		t.Error(diff)
 	}
-	records, err := c.Records(t.Context(), s.Addr(), RecordsRequest{Known: authority.Known{Catalogue: 8}})
+	records, err := c.Records(t.Context(), s.Addr(), RecordsRequest{Known: authority.Revisions{Catalogue: 8}})
 	if diff := cmp.Diff(RecordsAnswer{CatalogueRevision: 8, Catalogue: []byte("c"), AssignmentRevision: 2, Assignment: []byte{0, 255}}, records); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
--- a/spec/protocol_test.go
+++ b/spec/protocol_test.go
@@ -28,7 +28,7 @@
 // store or known by an instance. The catalogue is reduced to whether a caller key
 // has been withdrawn.
 type recordState struct {
-	revisions  authority.Known
+	revisions  authority.Revisions
 	assignment *assignment.Assignment
 	withdrawn  bool
 }
@@ -109,7 +109,7 @@
 	store        recordState
 	history      map[fleet.Revision]*assignment.Assignment
 	acknowledged fleet.Revision
-	inForce      authority.Known
+	inForce      authority.Revisions
 	instances    []*instance
 	upstreams    map[fleet.UpstreamID]*upstream
 	pending      []func()
@@ -137,7 +137,7 @@
 		}
 	}
 	a, _, _ := assignment.Plan(s.now, in)
-	s.store = recordState{revisions: authority.Known{Catalogue: 1, Assignment: 2}, assignment: a}
+	s.store = recordState{revisions: authority.Revisions{Catalogue: 1, Assignment: 2}, assignment: a}
 	s.history[2] = a
 	return s
 }
@@ -157,7 +157,7 @@
 func (s *simulation) restart(i *instance) {
 	i.boot++
 	i.recordState = recordState{assignment: &assignment.Assignment{}}
-	i.table = authority.New(i.member().Run(), authorityTTL)
+	i.table = authority.New(i.member().RunID(), authorityTTL)
 	i.dispatcherStates = map[fleet.UpstreamID]*dispatcherState{}
 }
 
@@ -181,25 +181,25 @@
 		i.table.SetMembers(runIDs(r.assignment.Members), runIDs(r.assignment.PreviousMembers))
 	}
 	i.table.Learn(s.now, i.revisions)
-	if got := i.table.Known(); got != i.revisions {
+	if got := i.table.Applied(); got != i.revisions {
 		s.t.Fatalf("instance %s knows revisions %v, its authority table %v", i.id, i.revisions, got)
 	}
 }
 
 func runIDs(members []assignment.Member) (ids []fleet.InstanceID) {
 	for _, m := range members {
-		ids = append(ids, m.Run())
+		ids = append(ids, m.RunID())
 	}
 	return ids
 }
 
-// confirmGone reports to instance i the runs in its member lists that have ended.
-func (s *simulation) confirmGone(i *instance) {
+// confirmEnded reports to instance i the runs in its member lists that have ended.
+func (s *simulation) confirmEnded(i *instance) {
 	ended := append(runIDs(i.assignment.Members), runIDs(i.assignment.PreviousMembers)...)
 	for _, j := range s.instances {
-		ended = slices.DeleteFunc(ended, func(id fleet.InstanceID) bool { return id == j.member().Run() })
+		ended = slices.DeleteFunc(ended, func(id fleet.InstanceID) bool { return id == j.member().RunID() })
 	}
-	i.table.ConfirmGone(ended)
+	i.table.ConfirmEnded(ended)
 }
 
 // unlessRestarted returns a function that runs f unless the instance has restarted
@@ -224,7 +224,7 @@
 func (s *simulation) poll(i, peer *instance) {
 	sent := s.now
 	s.deliver(func() {
-		r, run := peer.recordState, peer.member().Run()
+		r, run := peer.recordState, peer.member().RunID()
 		s.deliver(unlessRestarted(i, func() { s.apply(i, r); i.table.PeerAnswered(sent, s.now, run, r.revisions) }))
 	})
 }
@@ -281,7 +281,7 @@
 // not its dispatcher or has no authority.
 func (s *simulation) dispatcherState(i *instance, id fleet.UpstreamID) *dispatcherState {
 	u, ok := i.assignment.Upstream(id)
-	if !ok || u.Dispatcher != i.id || !i.table.Holds(s.now) || !slices.Contains(runIDs(i.assignment.Members), i.member().Run()) {
+	if !ok || u.Dispatcher != i.id || !i.table.Holds(s.now) || !slices.Contains(runIDs(i.assignment.Members), i.member().RunID()) {
 		return nil
 	}
 	d := i.dispatcherStates[id]
@@ -289,7 +289,7 @@
 		d = &dispatcherState{fence: u.Fence, released: map[fleet.Unit]fleet.Fence{}, firstRevision: i.revisions.Assignment}
 		i.dispatcherStates[id] = d
 	}
-	if d.inForceSince.IsZero() && i.table.InForce(s.now, authority.Known{Assignment: d.firstRevision}) {
+	if d.inForceSince.IsZero() && i.table.InForce(s.now, authority.Revisions{Assignment: d.firstRevision}) {
 		d.inForceSince = s.now
 	}
 	return d
@@ -385,7 +385,7 @@
 	case n < 12:
 		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(s.t, "ms")) * time.Millisecond)
 	case n < 36:
-		s.confirmGone(i)
+		s.confirmEnded(i)
 		if s.oneIn("store", 2) {
 			s.read(i)
 		}
@@ -418,7 +418,7 @@
 
 func (s *simulation) check() {
 	for _, i := range s.instances {
-		for _, k := range []authority.Known{{Catalogue: i.revisions.Catalogue}, {Assignment: i.revisions.Assignment}} {
+		for _, k := range []authority.Revisions{{Catalogue: i.revisions.Catalogue}, {Assignment: i.revisions.Assignment}} {
 			if i.revisions.Assignment > 0 && i.table.InForce(s.now, k) {
 				s.inForce = s.inForce.Max(k)
 			}
